--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -181,7 +181,7 @@
 TEST_F(DispatcherPressureTest, NothingIsMovedThatMayNotStartAgain) {
   Take({"vm-1", "vm-2", "silent"});
   Workflow filling = Filler();
-  filling.offered_to = 1;
+  filling.offered_to_epoch = 1;
   dispatcher_->AddWorkflow(filling, std::nullopt, now_);
   ASSERT_TRUE(Store());
   Link("vm-1", {Ref("f", 0, 1)});
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -24,7 +24,7 @@
   Workflow workflow;
   workflow.id = NameOf("filling-", number);
   workflow.service = "web";
-  workflow.offered_to = 1;
+  workflow.offered_to_epoch = 1;
   workflow.policy.stretch = 2;
   workflow.steps.resize(2);
   for (WorkflowStep& step : workflow.steps) {
@@ -43,7 +43,7 @@
   Workflow workflow;
   workflow.id = NameOf("serving-", number);
   workflow.service = "web";
-  workflow.offered_to = 1;
+  workflow.offered_to_epoch = 1;
   workflow.steps.resize(1);
   workflow.steps[0].tasks = 14;
   workflow.steps[0].each = {3200, 6500, 0};
@@ -127,7 +127,7 @@
     Workflow workflow;
     workflow.id = NameOf("small-", number++);
     workflow.service = "web";
-    workflow.offered_to = 1;
+    workflow.offered_to_epoch = 1;
     workflow.steps.resize(1);
     workflow.steps[0].tasks = kTasks;
     workflow.steps[0].each = {100, 100, 0};
--- a/beamhill/dispatch/dispatcher_test_base.h
+++ b/beamhill/dispatch/dispatcher_test_base.h
@@ -29,16 +29,16 @@
 inline constexpr Resources kRoom{8000, 16000, 0};
 
 // A workflow of one step whose tasks ask for 2 cores and 1000 MiB each;
-// `offered_to` is the epoch of the owner that it was first offered to.
+// `offered_to_epoch` is the epoch of the owner that it was first offered to.
 inline Workflow OneStep(const std::string& id, uint32_t tasks,
-                        uint64_t offered_to) {
+                        uint64_t offered_to_epoch) {
   Workflow workflow;
   workflow.id = id;
   workflow.queue = "q";
   workflow.service = "web";
   workflow.policy.max_attempts = 2;
   workflow.policy.stretch = 2;
-  workflow.offered_to = offered_to;
+  workflow.offered_to_epoch = offered_to_epoch;
   workflow.steps.resize(1);
   workflow.steps[0].tasks = tasks;
   workflow.steps[0].each = {2000, 1000, 0};
--- a/beamhill/replay/crash_replay.cc
+++ b/beamhill/replay/crash_replay.cc
@@ -229,7 +229,7 @@
   void Add(Workflow workflow, std::vector<Duration> runs, bool crashing) {
     workflow.queue = "q";
     workflow.service = "web";
-    workflow.offered_to = epoch_;
+    workflow.offered_to_epoch = epoch_;
     workflow.policy.max_attempts = 3;
     workflow.policy.stretch = 2;
     workflow.policy.target_latency = seconds(1);
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -283,7 +283,7 @@
     workflow.id = (fills ? "fill-" : "quick-") + std::to_string(next_id_++);
     workflow.queue = fills ? "batch" : "quick";
     workflow.service = kService;
-    workflow.offered_to = kEpoch;
+    workflow.offered_to_epoch = kEpoch;
     workflow.policy.max_attempts = 4;
     workflow.policy.stretch = kind.stretch;
     workflow.policy.target_latency = kind.target_latency;
@@ -337,7 +337,7 @@
     workflow.id = "serve-" + std::to_string(number);
     workflow.queue = "serve";
     workflow.service = kService;
-    workflow.offered_to = kEpoch;
+    workflow.offered_to_epoch = kEpoch;
     workflow.steps.resize(1);
     WorkflowStep& step = workflow.steps[0];
     step.tasks = load_.serving_tasks;
--- a/beamhill/replay/outage_replay.cc
+++ b/beamhill/replay/outage_replay.cc
@@ -307,7 +307,7 @@
         (lasting ? "lasting-" : "quick-") + std::to_string(jobs_.size());
     workflow.queue = "q";
     workflow.service = "web";
-    workflow.offered_to = epoch_;
+    workflow.offered_to_epoch = epoch_;
     workflow.policy.max_attempts = 3;
     workflow.steps.resize(1);
     workflow.steps[0].tasks = Draw(1, 4);
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -60,7 +60,7 @@
     workflow.id = "w";
     workflow.service = "web";
     workflow.policy.max_attempts = 2;
-    workflow.offered_to = 1;
+    workflow.offered_to_epoch = 1;
     workflow.steps.resize(1);
     workflow.steps[0].tasks = 1;
     workflow.steps[0].each = {2000, 1000, 0};
--- a/beamhill/scheduler/scheduler_calls.cc
+++ b/beamhill/scheduler/scheduler_calls.cc
@@ -58,7 +58,7 @@
       // Perhaps by a transaction of ours without an answer: the owner reads
       // under whom it was stored.
       Workflow stored = workflow;
-      stored.offered_to = 0;
+      stored.offered_to_epoch = 0;
       TellOwner(stored);
     }
     done(result);
@@ -91,7 +91,7 @@
 
 void Scheduler::Submit(Workflow workflow,
                        std::function<void(SubmitResult)> done) {
-  workflow.offered_to = keeper_->epoch();
+  workflow.offered_to_epoch = keeper_->epoch();
   const uint64_t number = next_call_++;
   OpenSubmission& submission = submissions_[number];
   submission.since = BootClock::now();
@@ -189,7 +189,7 @@
 
 void Scheduler::ServeRelay(Link* link, const RelayedSubmit& call) {
   Workflow workflow = call.workflow;
-  workflow.offered_to = keeper_->epoch();
+  workflow.offered_to_epoch = keeper_->epoch();
   SubmitHere(workflow, [this, link, id = call.id](SubmitResult result) {
     AnswerRelay(link, id, static_cast<uint8_t>(result));
   });
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -232,7 +232,7 @@
 void WorkOwner::OnWorkflowStored(const Workflow& workflow) {
   // While loading, the load finds it.
   if (!dispatcher_ || dispatcher_->Knows(workflow.id)) return;
-  if (workflow.offered_to == options_.epoch) {
+  if (workflow.offered_to_epoch == options_.epoch) {
     Add(workflow, std::nullopt);
   } else {
     // An earlier owner may have heard of it too: what is stored counts.
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -82,7 +82,7 @@
   QueuePolicy policy;
   // The epoch of the owner that was told of the workflow when it was stored;
   // no other owner has started any of it without a record of its own.
-  uint64_t offered_to = 0;
+  uint64_t offered_to_epoch = 0;
 
   // How many times all steps run.
   uint32_t rounds() const { return repetitions == 0 ? 1 : repetitions; }
@@ -90,7 +90,7 @@
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.id, s.queue, s.service, s.payload, s.steps, s.repetitions,
-                    s.first_due, s.interval, s.policy, s.offered_to);
+                    s.first_due, s.interval, s.policy, s.offered_to_epoch);
   }
 };
 
