--- a/beamhill/dispatch/dispatch_crashes_test.cc
+++ b/beamhill/dispatch/dispatch_crashes_test.cc
@@ -206,7 +206,7 @@
 // some were still waiting after 38 s with most of the room free.
 TEST_F(DispatcherCrashesTest, NextOwnerLeavesNoSuspectWaitingForATrial) {
   ProgressRecord record;
-  record.opened_by = 1;
+  record.opened_by_epoch = 1;
   record.steps.resize(1);
   record.steps[0].crashes = {{0, {1}}};
   constexpr size_t kSuspects = 12;  // There is room for each.
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -87,7 +87,7 @@
   if (Knows(workflow.id)) return;
   auto job = std::make_unique<Job>(workflow);
   const uint64_t last_opener =
-      record ? std::max(record->opened_by, workflow.offered_to_epoch)
+      record ? std::max(record->opened_by_epoch, workflow.offered_to_epoch)
              : workflow.offered_to_epoch;
   job->opened = last_opener == options_.epoch;
   job->inherited = !job->opened && last_opener != 0;
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -105,7 +105,7 @@
 
 ProgressRecord WorkflowProgress::Record(uint64_t epoch) const {
   ProgressRecord record;
-  record.opened_by = epoch;
+  record.opened_by_epoch = epoch;
   record.state = state_;
   if (state_ == WorkflowState::kCompleted ||
       state_ == WorkflowState::kCancelled) {
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -70,13 +70,14 @@
 
 // What is stored of a workflow's progress.
 struct ProgressRecord {
-  uint64_t opened_by = 0;  // Epoch of the owner that may have started tasks.
+  uint64_t opened_by_epoch =
+      0;  // Epoch of the owner that may have started tasks.
   WorkflowState state = WorkflowState::kQueued;
   std::vector<StepRecord> steps;
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.opened_by, s.state, s.steps);
+    return std::tie(s.opened_by_epoch, s.state, s.steps);
   }
 };
 
