--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -60,7 +60,7 @@
   double cost =
       static_cast<double>(vm.used.cpu_millis + vm.filling_cpu) / kMillisOfCore;
   if (IsUnstable(vm, now)) cost += kUnstableCost;
-  if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
+  if (!step.preferred_rack.empty() && vm.status.rack != step.preferred_rack) {
     cost += kFarFromDataCost;
   }
   return cost;
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -355,7 +355,7 @@
     if (rack && vm.status.rack != *rack) continue;
     if (!MayHost(vm, vm_name, job, step, open, now)) continue;
     double cost = Cost(vm, step);
-    if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
+    if (!step.preferred_rack.empty() && vm.status.rack != step.preferred_rack) {
       cost += kOtherRack;
     }
     if (vm_name == avoid) cost += kAvoided;
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -33,7 +33,7 @@
   Link("vm-1");
   Link("vm-2");
   Workflow near = OneStep("a", 2, 2);
-  near.steps[0].near_rack = "r2";
+  near.steps[0].preferred_rack = "r2";
   dispatcher_->AddWorkflow(near, std::nullopt, now_);
   for (const auto& [vm, run] : Tick().starts) EXPECT_EQ(vm, "vm-2");
 }
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -40,7 +40,7 @@
   uint32_t max_per_vm = 0;      // Most tasks of the step on a VM; 0: any.
   uint32_t may_be_away = 0;     // Long-running tasks we may take away at once.
   std::string required_label;   // A label the VM must have; empty: any.
-  std::string near_rack;        // The rack where the data lies; empty: any.
+  std::string preferred_rack;   // The rack where the data lies; empty: any.
   std::string image;            // Tasks of an image behave alike.
   Duration tail_target{};       // Of a serving task's own users; 0: none.
 
@@ -48,8 +48,8 @@
   static auto Fields(S& s) {
     return std::tie(s.tasks, s.each, s.declared_run, s.after, s.saves_progress,
                     s.gang, s.same_rack, s.redundant, s.long_running, s.fills,
-                    s.max_per_vm, s.may_be_away, s.required_label, s.near_rack,
-                    s.image, s.tail_target);
+                    s.max_per_vm, s.may_be_away, s.required_label,
+                    s.preferred_rack, s.image, s.tail_target);
   }
 };
 
