--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -29,26 +29,26 @@
 struct WorkflowStep {
   uint32_t tasks = 0;
   Resources each;
-  Duration declared_run{};      // The submitter's guess of one task's time.
-  std::vector<uint32_t> after;  // Steps that must be done first.
-  bool saves_progress = false;  // Tasks can resume from a checkpoint.
-  bool gang = false;            // All tasks start together and end together.
-  bool same_rack = false;       // A gang that is slower when spread.
-  bool redundant = false;       // Copies of a task may run side by side.
-  bool long_running = false;    // Runs until the workflow is cancelled.
-  bool fills = false;           // Takes processor time that others leave.
-  uint32_t max_per_vm = 0;      // Most tasks of the step on a VM; 0: any.
-  uint32_t may_be_away = 0;     // Long-running tasks we may take away at once.
-  std::string required_label;   // A label the VM must have; empty: any.
-  std::string preferred_rack;   // The rack where the data lies; empty: any.
-  std::string image;            // Tasks of an image behave alike.
-  Duration tail_target{};       // Of a serving task's own users; 0: none.
+  Duration declared_run{};       // The submitter's guess of one task's time.
+  std::vector<uint32_t> after;   // Steps that must be done first.
+  bool saves_progress = false;   // Tasks can resume from a checkpoint.
+  bool gang = false;             // All tasks start together and end together.
+  bool same_rack = false;        // A gang that is slower when spread.
+  bool redundant = false;        // Copies of a task may run side by side.
+  bool long_running = false;     // Runs until the workflow is cancelled.
+  bool fills = false;            // Takes processor time that others leave.
+  uint32_t max_per_vm = 0;       // Most tasks of the step on a VM; 0: any.
+  uint32_t max_unavailable = 0;  // Long-running tasks we may take away at once.
+  std::string required_label;    // A label the VM must have; empty: any.
+  std::string preferred_rack;    // The rack where the data lies; empty: any.
+  std::string image;             // Tasks of an image behave alike.
+  Duration tail_target{};        // Of a serving task's own users; 0: none.
 
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.tasks, s.each, s.declared_run, s.after, s.saves_progress,
                     s.gang, s.same_rack, s.redundant, s.long_running, s.fills,
-                    s.max_per_vm, s.may_be_away, s.required_label,
+                    s.max_per_vm, s.max_unavailable, s.required_label,
                     s.preferred_rack, s.image, s.tail_target);
   }
 };
