--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -63,7 +63,7 @@
 
 Duration Dispatcher::AllowedFor(const Job& job, uint32_t round) const {
   const Workflow& workflow = job.progress.workflow();
-  const Duration chain = LongestChain(workflow, [&](size_t number) {
+  const Duration chain = CriticalPath(workflow, [&](size_t number) {
     const WorkflowStep& step = workflow.steps[number];
     const auto failures = static_cast<int64_t>(
         job.progress.MostFailures(round, static_cast<uint32_t>(number)));
--- a/beamhill/workflow/workflow.cc
+++ b/beamhill/workflow/workflow.cc
@@ -61,7 +61,7 @@
   return std::nullopt;
 }
 
-Duration LongestChain(const Workflow& workflow,
+Duration CriticalPath(const Workflow& workflow,
                       const std::function<Duration(size_t step)>& step_time) {
   std::vector<Duration> ends(workflow.steps.size());
   Duration longest{};
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -129,7 +129,7 @@
 
 // The longest chain of steps that wait for each other, where each step takes
 // what `step_time` says of its number.
-Duration LongestChain(const Workflow& workflow,
+Duration CriticalPath(const Workflow& workflow,
                       const std::function<Duration(size_t step)>& step_time);
 
 }  // namespace beamhill
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -199,7 +199,7 @@
 }
 
 Duration WorkflowProgress::RemainingChain(uint32_t round, TimePoint now) const {
-  return LongestChain(workflow_, [&](size_t step) {
+  return CriticalPath(workflow_, [&](size_t step) {
     return RemainingOf(round, static_cast<uint32_t>(step), now);
   });
 }
