--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -86,7 +86,7 @@
 Lateness Dispatcher::LatenessOf(const Job& job, uint32_t round, TimePoint now,
                                 UnixMillis unix_now) {
   const TimePoint due = DueOf(job, round, now, unix_now);
-  const TimePoint end = now + job.progress.RemainingChain(round, now);
+  const TimePoint end = now + job.progress.RemainingCriticalPath(round, now);
   if (end > due + (kLateFactor - 1) * job.allowed) return Lateness::kTooLate;
   return end > due ? Lateness::kLate : Lateness::kInTime;
 }
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -198,7 +198,8 @@
   return longest;
 }
 
-Duration WorkflowProgress::RemainingChain(uint32_t round, TimePoint now) const {
+Duration WorkflowProgress::RemainingCriticalPath(uint32_t round,
+                                                 TimePoint now) const {
   return CriticalPath(workflow_, [&](size_t step) {
     return RemainingOf(round, static_cast<uint32_t>(step), now);
   });
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -131,7 +131,7 @@
   std::optional<Duration> MeasuredRun(uint32_t step) const;
   // The time that the longest chain of what is not done is expected to take; a
   // task that runs counts for what is left of its own.
-  Duration RemainingChain(uint32_t round, TimePoint now) const;
+  Duration RemainingCriticalPath(uint32_t round, TimePoint now) const;
   // How often a task of the step has failed, of the one that did so most.
   size_t MostFailures(uint32_t round, uint32_t step) const;
   // The expected processor time of a round's tasks that are not done, in
