--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -94,14 +94,14 @@
 double Dispatcher::OrderOf(const Job& job, uint32_t round, TimePoint now,
                            UnixMillis unix_now) {
   return YieldOrder(LatenessOf(job, round, now, unix_now),
-                    job.progress.RemainingWork(round),
+                    job.progress.RemainingCoreSeconds(round),
                     DueOf(job, round, now, unix_now));
 }
 
 void Dispatcher::SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t round = 0; round < workflow.rounds(); ++round) {
-    if (job.progress.RemainingWork(round) <= 0) continue;
+    if (job.progress.RemainingCoreSeconds(round) <= 0) continue;
     job.allowed = AllowedFor(job, round);
     job.yield_order = OrderOf(job, round, now, unix_now);
     return;
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -213,7 +213,7 @@
   return most;
 }
 
-double WorkflowProgress::RemainingWork(uint32_t round) const {
+double WorkflowProgress::RemainingCoreSeconds(uint32_t round) const {
   double work = 0;
   for (uint32_t step = 0; step < workflow_.steps.size(); ++step) {
     const WorkflowStep& spec = workflow_.steps[step];
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -136,7 +136,7 @@
   size_t MostFailures(uint32_t round, uint32_t step) const;
   // The expected processor time of a round's tasks that are not done, in
   // core-seconds.
-  double RemainingWork(uint32_t round) const;
+  double RemainingCoreSeconds(uint32_t round) const;
   // Whether a round that is not yet due remains.
   bool HasLaterRound(UnixMillis now) const;
 
