--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -66,7 +66,7 @@
   const Duration chain = CriticalPath(workflow, [&](size_t number) {
     const WorkflowStep& step = workflow.steps[number];
     const auto failures = static_cast<int64_t>(
-        job.progress.MostFailures(round, static_cast<uint32_t>(number)));
+        job.progress.MaxFailures(round, static_cast<uint32_t>(number)));
     return job.progress.ExpectedRun(static_cast<uint32_t>(number)) *
            (WavesOf(job, step) + failures);
   });
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -205,7 +205,7 @@
   });
 }
 
-size_t WorkflowProgress::MostFailures(uint32_t round, uint32_t step) const {
+size_t WorkflowProgress::MaxFailures(uint32_t round, uint32_t step) const {
   size_t most = 0;
   for (const Task& task : TasksOf(round, step)) {
     most = std::max(most, task.failed_runs.size());
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -133,7 +133,7 @@
   // task that runs counts for what is left of its own.
   Duration RemainingCriticalPath(uint32_t round, TimePoint now) const;
   // How often a task of the step has failed, of the one that did so most.
-  size_t MostFailures(uint32_t round, uint32_t step) const;
+  size_t MaxFailures(uint32_t round, uint32_t step) const;
   // The expected processor time of a round's tasks that are not done, in
   // core-seconds.
   double RemainingCoreSeconds(uint32_t round) const;
