--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -77,7 +77,7 @@
   for (const RunRef& run : lost.others) {
     Job* job = Find(run.task.workflow);
     if (job == nullptr || !job->progress.Has(run.task)) continue;
-    if (job->progress.OnOutlived(run.task, run.run)) MarkDirty(*job);
+    if (job->progress.OnStartSurvived(run.task, run.run)) MarkDirty(*job);
   }
   for (const RunRef& run : lost.just_begun) Suspect(name, run, now);
 }
@@ -122,7 +122,7 @@
     // A VM that is silent may have lost its runner.
     if (held && now - task.held_since >= kOutlived &&
         vms_[task.vm].lease_bound > now) {
-      if (job->progress.OnOutlived(*it, task.run)) MarkDirty(*job);
+      if (job->progress.OnStartSurvived(*it, task.run)) MarkDirty(*job);
     }
     ++it;
   }
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -283,7 +283,7 @@
   if (!failed || news) health_.OnEnded(name, ref.workflow, failed, now);
   if (!failed) return;
   // It came to an end of its own, on a runner that lives.
-  if (job.progress.OnOutlived(ref, end.run.run)) MarkDirty(job);
+  if (job.progress.OnStartSurvived(ref, end.run.run)) MarkDirty(job);
   task.avoid_vm = name;
   if (!job.progress.workflow().steps[ref.step].long_running) {
     task.not_before = now + kRetryPause;
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -354,7 +354,7 @@
   return true;
 }
 
-bool WorkflowProgress::OnOutlived(const TaskRef& ref, uint64_t run) {
+bool WorkflowProgress::OnStartSurvived(const TaskRef& ref, uint64_t run) {
   Task& task = At(ref);
   task.outlived = std::max(task.outlived, run);
   std::vector<uint64_t>& crashed = task.crashed_runs;
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -165,7 +165,7 @@
   // The run has shown that its task does not always take runners down at its
   // start: crashes before it count no more. Returns whether the stored record
   // has changed.
-  bool OnOutlived(const TaskRef& ref, uint64_t run);
+  bool OnStartSurvived(const TaskRef& ref, uint64_t run);
   void Cancel();
 
  private:
--- a/beamhill/workflow/workflow_progress_test.cc
+++ b/beamhill/workflow/workflow_progress_test.cc
@@ -80,11 +80,11 @@
   WorkflowProgress progress(TwoSteps(2));
   const TaskRef task{"w", 0, 0, 0};
   EXPECT_TRUE(progress.OnRunnerCrash(task, 1));
-  EXPECT_TRUE(progress.OnOutlived(task, 2));
+  EXPECT_TRUE(progress.OnStartSurvived(task, 2));
   for (uint64_t run = 3; run <= 6; ++run) {
     EXPECT_FALSE(progress.over());
     EXPECT_TRUE(progress.OnRunnerCrash(task, run));
-    EXPECT_FALSE(progress.OnOutlived(task, 2));
+    EXPECT_FALSE(progress.OnStartSurvived(task, 2));
   }
   EXPECT_EQ(progress.state(), WorkflowState::kFailed);
 }
