--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -80,7 +80,7 @@
       summary.weights.push_back(
           {weight.serving, weight.filling, weight.per_vm});
     }
-    interference_.Recall(summary);
+    interference_.Restore(summary);
   }
   RefitPressure();
 }
--- a/beamhill/placement/pairwise_interference.cc
+++ b/beamhill/placement/pairwise_interference.cc
@@ -84,7 +84,7 @@
   return summaries;
 }
 
-void PairwiseInterference::Recall(const Summary& summary) {
+void PairwiseInterference::Restore(const Summary& summary) {
   for (int i = 0; i < kRecalledTimes; ++i) {
     Observe(summary.serving, {}, summary.alone);
     for (const Weight& weight : summary.weights) {
--- a/beamhill/placement/pairwise_interference.h
+++ b/beamhill/placement/pairwise_interference.h
@@ -56,7 +56,7 @@
   std::vector<Summary> Summaries() const;
   // Takes a summary over, as if it had been seen a few times. What is
   // observed from then on soon outweighs it.
-  void Recall(const Summary& summary);
+  void Restore(const Summary& summary);
 
  private:
   struct Learned {
