--- a/beamhill/cell/cell_scheduling.cc
+++ b/beamhill/cell/cell_scheduling.cc
@@ -118,7 +118,7 @@
     if (!health_.MayStart(job, ledger.running(), now)) continue;
     teams[ledger.job().team].jobs.push_back(&ledger);
   }
-  for (const auto& [team, waiting] : teams) order.Offer(team);
+  for (const auto& [team, waiting] : teams) order.AddWaiting(team);
   while (budget > 0) {
     const auto team = order.Next();
     if (!team) return;
@@ -132,7 +132,7 @@
     if (started) {
       --budget;
       order.AddUsage(*team, job.each);
-      order.Offer(*team);
+      order.AddWaiting(*team);
       continue;
     }
     if (urgency == Urgency::kUrgent && ledger.NextStartable(now) &&
@@ -142,7 +142,7 @@
     }
     waiting.jobs.erase(waiting.jobs.begin() +
                        static_cast<std::ptrdiff_t>(waiting.next));
-    if (!waiting.jobs.empty()) order.Offer(*team);
+    if (!waiting.jobs.empty()) order.AddWaiting(*team);
   }
 }
 
--- a/beamhill/placement/fair_order.cc
+++ b/beamhill/placement/fair_order.cc
@@ -25,7 +25,7 @@
   return it == usage_.end() ? 0 : DominantShare(it->second, capacity_);
 }
 
-void FairOrder::Offer(const std::string& team) {
+void FairOrder::AddWaiting(const std::string& team) {
   waiting_.emplace(ShareOf(team), team);
 }
 
--- a/beamhill/placement/fair_order.h
+++ b/beamhill/placement/fair_order.h
@@ -7,9 +7,9 @@
 //
 //   FairOrder order(cell_capacity, quota);
 //   order.AddUsage("team-a", granted);
-//   order.Offer("team-a"); order.Offer("team-b");
+//   order.AddWaiting("team-a"); order.AddWaiting("team-b");
 //   while (auto team = order.Next()) {
-//     ... order.AddUsage(*team, each); order.Offer(*team); }
+//     ... order.AddUsage(*team, each); order.AddWaiting(*team); }
 #ifndef BEAMHILL_PLACEMENT_FAIR_ORDER_H_
 #define BEAMHILL_PLACEMENT_FAIR_ORDER_H_
 
@@ -37,8 +37,9 @@
 
   void AddUsage(const std::string& team, const Resources& amount);
   // The team has work waiting.
-  void Offer(const std::string& team);
-  // The team to serve next; it is not offered again unless Offer is called.
+  void AddWaiting(const std::string& team);
+  // The team to serve next; it is not offered again unless AddWaiting is
+  // called.
   std::optional<std::string> Next();
   // Whether the team may hold so much more.
   bool WithinQuota(const std::string& team, const Resources& more) const;
