--- a/beamhill/agent/agent_core.h
+++ b/beamhill/agent/agent_core.h
@@ -199,7 +199,7 @@
   TimePoint first_tick_{};
   bool lapse_handled_ = false;
 
-  YieldLadder ladder_;
+  ThrottleController ladder_;
   TimePoint last_throttle_{};
   bool listed_ = false;  // The worker's list has been seen.
   bool inventory_wanted_ = false;
--- a/beamhill/placement/interference_test.cc
+++ b/beamhill/placement/interference_test.cc
@@ -92,8 +92,8 @@
   EXPECT_LT(tail.limit(), throughput.limit());
 }
 
-TEST(YieldLadder, ThrottlesThenEvictsThenReleases) {
-  YieldLadder ladder;
+TEST(ThrottleController, ThrottlesThenEvictsThenReleases) {
+  ThrottleController ladder;
   TimePoint now = kStart;
   std::vector<YieldStep> steps;
   const auto run = [&](Duration latency, int for_seconds) {
--- a/beamhill/placement/yield_ladder.cc
+++ b/beamhill/placement/yield_ladder.cc
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-void YieldLadder::Smooth(Duration latency) {
+void ThrottleController::Smooth(Duration latency) {
   const double ms = ToMillis(latency);
   smoothed_ms_ =
       seen_ ? smoothed_ms_ + kSampleWeight * (ms - smoothed_ms_) : ms;
   seen_ = true;
 }
 
-YieldStep YieldLadder::Observe(Duration latency, Duration target,
-                               TimePoint now) {
+YieldStep ThrottleController::Observe(Duration latency, Duration target,
+                                      TimePoint now) {
   Smooth(latency);
   const double ratio = smoothed_ms_ / ToMillis(target);
   if (ratio > kBreach) {
--- a/beamhill/placement/yield_ladder.h
+++ b/beamhill/placement/yield_ladder.h
@@ -5,7 +5,7 @@
 // and says what to do next. An eviction is asked for only after throttling
 // has not helped for a while, and one at a time.
 //
-//   YieldLadder ladder;
+//   ThrottleController ladder;
 //   switch (ladder.Observe(latency, target, now)) {
 //     case YieldStep::kThrottle: ...
 #ifndef BEAMHILL_PLACEMENT_YIELD_LADDER_H_
@@ -24,7 +24,7 @@
   kRelease,   // End the throttling.
 };
 
-class YieldLadder {
+class ThrottleController {
  public:
   YieldStep Observe(Duration latency, Duration target, TimePoint now);
   bool throttled() const { return throttled_; }
--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -53,7 +53,7 @@
 struct Vm {
   std::string name;
   std::vector<Task> tasks;
-  YieldLadder ladder;
+  ThrottleController ladder;
   double load = 1;  // Of its service, over the usual.
   double pressure = 1;
   // Reports on their way: the loads of the time and the latency.
