--- a/beamhill/agent/agent_core.cc
+++ b/beamhill/agent/agent_core.cc
@@ -350,13 +350,13 @@
 void AgentCore::OnServiceLatency(Duration latency, Duration target,
                                  TimePoint now) {
   switch (ladder_.Observe(latency, target, now)) {
-    case YieldStep::kNone:
+    case ThrottleAction::kNone:
       return;
-    case YieldStep::kThrottle:
-    case YieldStep::kRelease:
+    case ThrottleAction::kThrottle:
+    case ThrottleAction::kRelease:
       CommandThrottle();
       return;
-    case YieldStep::kEvict:
+    case ThrottleAction::kEvict:
       SendToOwner(YieldWanted{CurrentFence()});
       return;
   }
--- a/beamhill/placement/interference_test.cc
+++ b/beamhill/placement/interference_test.cc
@@ -95,25 +95,26 @@
 TEST(ThrottleController, ThrottlesThenEvictsThenReleases) {
   ThrottleController ladder;
   TimePoint now = kStart;
-  std::vector<YieldStep> steps;
+  std::vector<ThrottleAction> steps;
   const auto run = [&](Duration latency, int for_seconds) {
     for (int i = 0; i < for_seconds; ++i) {
       now += seconds(1);
-      const YieldStep step = ladder.Observe(latency, milliseconds(100), now);
-      if (step != YieldStep::kNone) steps.push_back(step);
+      const ThrottleAction step =
+          ladder.Observe(latency, milliseconds(100), now);
+      if (step != ThrottleAction::kNone) steps.push_back(step);
     }
   };
   run(milliseconds(50), 10);
   EXPECT_TRUE(steps.empty());
   run(milliseconds(200), 60);
   ASSERT_EQ(steps.size(), 2U);
-  EXPECT_EQ(steps[0], YieldStep::kThrottle);
-  EXPECT_EQ(steps[1], YieldStep::kEvict);
+  EXPECT_EQ(steps[0], ThrottleAction::kThrottle);
+  EXPECT_EQ(steps[1], ThrottleAction::kEvict);
   run(milliseconds(100), 60);
   EXPECT_EQ(steps.size(), 2U) << "between the marks nothing changes";
   run(milliseconds(40), 40);
   ASSERT_EQ(steps.size(), 3U);
-  EXPECT_EQ(steps[2], YieldStep::kRelease);
+  EXPECT_EQ(steps[2], ThrottleAction::kRelease);
 }
 
 }  // namespace
--- a/beamhill/placement/yield_ladder.cc
+++ b/beamhill/placement/yield_ladder.cc
@@ -21,8 +21,8 @@
   seen_ = true;
 }
 
-YieldStep ThrottleController::Observe(Duration latency, Duration target,
-                                      TimePoint now) {
+ThrottleAction ThrottleController::Observe(Duration latency, Duration target,
+                                           TimePoint now) {
   Smooth(latency);
   const double ratio = smoothed_ms_ / ToMillis(target);
   if (ratio > kBreach) {
@@ -33,22 +33,22 @@
     if (!throttled_ && above >= kBreachBeforeThrottle) {
       throttled_ = true;
       last_step_ = now;
-      return YieldStep::kThrottle;
+      return ThrottleAction::kThrottle;
     }
     if (throttled_ && now - last_step_ >= kThrottleBeforeEvict) {
       last_step_ = now;
-      return YieldStep::kEvict;
+      return ThrottleAction::kEvict;
     }
-    return YieldStep::kNone;
+    return ThrottleAction::kNone;
   }
   above_ = false;
   if (ratio > kCalm) below_since_ = now;
   if (throttled_ && now - below_since_ >= kCalmBeforeRelease) {
     throttled_ = false;
     last_step_ = now;
-    return YieldStep::kRelease;
+    return ThrottleAction::kRelease;
   }
-  return YieldStep::kNone;
+  return ThrottleAction::kNone;
 }
 
 }  // namespace beamhill
--- a/beamhill/placement/yield_ladder.h
+++ b/beamhill/placement/yield_ladder.h
@@ -7,7 +7,7 @@
 //
 //   ThrottleController ladder;
 //   switch (ladder.Observe(latency, target, now)) {
-//     case YieldStep::kThrottle: ...
+//     case ThrottleAction::kThrottle: ...
 #ifndef BEAMHILL_PLACEMENT_YIELD_LADDER_H_
 #define BEAMHILL_PLACEMENT_YIELD_LADDER_H_
 
@@ -17,7 +17,7 @@
 
 namespace beamhill {
 
-enum class YieldStep : uint8_t {
+enum class ThrottleAction : uint8_t {
   kNone,
   kThrottle,  // Slow the batch tasks of the VM down.
   kEvict,     // Checkpoint and stop the most harmful one.
@@ -26,7 +26,7 @@
 
 class ThrottleController {
  public:
-  YieldStep Observe(Duration latency, Duration target, TimePoint now);
+  ThrottleAction Observe(Duration latency, Duration target, TimePoint now);
   bool throttled() const { return throttled_; }
 
  private:
--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -276,7 +276,8 @@
       }
       model_.Observe(loads, latency);
     }
-    if (vm.ladder.Observe(latency, shape_.target, now_) == YieldStep::kEvict) {
+    if (vm.ladder.Observe(latency, shape_.target, now_) ==
+        ThrottleAction::kEvict) {
       EvictOne(vm);
     }
   }
