--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -54,7 +54,7 @@
 
   static Workflow Filler() {
     Workflow filling = OneStep("f", 1, 2);
-    filling.steps[0].fills = true;
+    filling.steps[0].best_effort = true;
     filling.steps[0].saves_progress = true;
     filling.steps[0].image = "f";
     return filling;
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -90,13 +90,13 @@
   }
 
   void Start(const RunRef& run, uint64_t epoch, Duration tail_target = {},
-             bool fills = false, double yield_order = 0) {
+             bool best_effort = false, double yield_order = 0) {
     StartRuns starts;
     starts.epoch = epoch;
     starts.life = executor_->status().life;
     starts.workflow = run.task.workflow;
     starts.traits.image = "img";
-    starts.traits.fills = fills;
+    starts.traits.best_effort = best_effort;
     starts.traits.tail_target = tail_target;
     starts.traits.cpu_millis = 2000;
     starts.traits.yield_order = yield_order;
@@ -119,7 +119,7 @@
     Register("life-1");
     Attach(1);
     const RunRef serving{{"w", 0, 0, 1}, 1};
-    Start(kRun, 1, {}, /*fills=*/true);
+    Start(kRun, 1, {}, /*best_effort=*/true);
     Start(serving, 1, std::chrono::milliseconds(20));
     AnswerAll(starts_);
     for (int i = 0; i < 4; ++i) {
