--- a/beamhill/dispatch/dispatch_layout.cc
+++ b/beamhill/dispatch/dispatch_layout.cc
@@ -93,12 +93,13 @@
   const double free = FreeCores(vm);
   const double used = dispatch_internal::kServingUse *
                       static_cast<double>(cpu_millis) / kMillisOfCore;
-  return layout_.Worth(before, free) - layout_.Worth(after, free - used);
+  return layout_.EffectiveCores(before, free) -
+         layout_.EffectiveCores(after, free - used);
 }
 
 double Dispatcher::LayoutGain(const Vm& vm, const std::string& image) const {
   ServingLayout::Images after = ServingOn(vm);
-  const double before = layout_.Worth(after, FreeCores(vm));
+  const double before = layout_.EffectiveCores(after, FreeCores(vm));
   after.erase(image);
   int64_t cpu = 0;
   for (const auto& [run, held] : vm.held) {
@@ -107,7 +108,7 @@
   }
   const double freed =
       dispatch_internal::kServingUse * static_cast<double>(cpu) / kMillisOfCore;
-  return layout_.Worth(after, FreeCores(vm) + freed) - before;
+  return layout_.EffectiveCores(after, FreeCores(vm) + freed) - before;
 }
 
 bool Dispatcher::AllAtWork(const Job& job, const RunRef& except,
--- a/beamhill/placement/serving_layout.cc
+++ b/beamhill/placement/serving_layout.cc
@@ -61,7 +61,8 @@
   return ~harmed;
 }
 
-double ServingLayout::Worth(const Images& serving, double free_cores) const {
+double ServingLayout::EffectiveCores(const Images& serving,
+                                     double free_cores) const {
   if (free_cores <= 0) return 0;
   const Mask allowed = AllowedBeside(serving);
   double worth = 0;
--- a/beamhill/placement/serving_layout.h
+++ b/beamhill/placement/serving_layout.h
@@ -39,7 +39,7 @@
                               const std::vector<Vm>& vms);
 
   // In cores, at most `free_cores`.
-  double Worth(const Images& serving, double free_cores) const;
+  double EffectiveCores(const Images& serving, double free_cores) const;
 
  private:
   using Mask = uint64_t;  // A bit for each filling image.
