--- a/beamhill/agent/agent_core.h
+++ b/beamhill/agent/agent_core.h
@@ -21,7 +21,7 @@
 
 #include "beamhill/base/time.h"
 #include "beamhill/messages/messages.h"
-#include "beamhill/placement/yield_ladder.h"
+#include "beamhill/placement/throttle_controller.h"
 #include "beamhill/work/work.h"
 
 namespace beamhill {
--- a/beamhill/placement/interference_test.cc
+++ b/beamhill/placement/interference_test.cc
@@ -4,7 +4,7 @@
 
 #include "beamhill/placement/interference_model.h"
 #include "beamhill/placement/placement_policy.h"
-#include "beamhill/placement/yield_ladder.h"
+#include "beamhill/placement/throttle_controller.h"
 
 namespace beamhill {
 namespace {
--- a/beamhill/placement/yield_ladder.cc
+++ b/beamhill/placement/throttle_controller.cc
@@ -1,4 +1,4 @@
-#include "beamhill/placement/yield_ladder.h"
+#include "beamhill/placement/throttle_controller.h"
 
 namespace beamhill {
 namespace {
--- a/beamhill/placement/yield_ladder.h
+++ b/beamhill/placement/throttle_controller.h
@@ -8,8 +8,8 @@
 //   ThrottleController ladder;
 //   switch (ladder.Observe(latency, target, now)) {
 //     case ThrottleAction::kThrottle: ...
-#ifndef BEAMHILL_PLACEMENT_YIELD_LADDER_H_
-#define BEAMHILL_PLACEMENT_YIELD_LADDER_H_
+#ifndef BEAMHILL_PLACEMENT_THROTTLE_CONTROLLER_H_
+#define BEAMHILL_PLACEMENT_THROTTLE_CONTROLLER_H_
 
 #include <cstdint>
 
@@ -43,4 +43,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_PLACEMENT_YIELD_LADDER_H_
+#endif  // BEAMHILL_PLACEMENT_THROTTLE_CONTROLLER_H_
