--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -66,7 +66,8 @@
   for (const auto& summary : interference_.Summaries()) {
     PressureRecord::Image image{summary.serving, summary.alone, {}};
     for (const auto& weight : summary.weights) {
-      image.weights.push_back({weight.serving, weight.filler, weight.per_vm});
+      image.weights.push_back(
+          {weight.serving, weight.best_effort, weight.per_vm});
     }
     record.images.push_back(std::move(image));
   }
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -17,14 +17,16 @@
 std::vector<PressureWeight> Dispatcher::TakeNews(size_t limit) {
   std::vector<std::pair<Duration, PressureWeight>> news;
   for (const auto& weight : interference_.Weights()) {
-    const auto told = logged_weights_.find({weight.serving, weight.filler});
+    const auto told =
+        logged_weights_.find({weight.serving, weight.best_effort});
     const Duration before =
         told == logged_weights_.end() ? Duration(0) : told->second;
     const Duration moved = std::chrono::abs(weight.per_vm - before);
     if (moved < std::max(kNews, std::chrono::abs(before) / kNewsDivisor)) {
       continue;
     }
-    news.push_back({moved, {weight.serving, weight.filler, weight.per_vm}});
+    news.push_back(
+        {moved, {weight.serving, weight.best_effort, weight.per_vm}});
   }
   std::sort(news.begin(), news.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
@@ -105,8 +107,8 @@
         << job->second->progress.At(task).crashed_runs.size() << "\n";
   }
   for (const auto& weight : interference_.Weights()) {
-    out << "pressure " << weight.filler << " on " << weight.serving << " ms "
-        << ToMillis(weight.per_vm) << "\n";
+    out << "pressure " << weight.best_effort << " on " << weight.serving
+        << " ms " << ToMillis(weight.per_vm) << "\n";
   }
   for (const auto& [id, job] : jobs_) {
     if (job->progress.over()) continue;
--- a/beamhill/placement/pairwise_interference.cc
+++ b/beamhill/placement/pairwise_interference.cc
@@ -90,7 +90,7 @@
     for (const Weight& weight : summary.weights) {
       const auto added =
           std::chrono::duration_cast<Duration>(weight.per_vm * kRecalledShare);
-      Observe(summary.serving, {{weight.filler, kRecalledShare}},
+      Observe(summary.serving, {{weight.best_effort, kRecalledShare}},
               std::max(summary.alone + added, Duration(0)));
     }
   }
--- a/beamhill/placement/pairwise_interference.h
+++ b/beamhill/placement/pairwise_interference.h
@@ -38,7 +38,7 @@
 
   struct Weight {
     std::string serving;
-    std::string filler;
+    std::string best_effort;
     Duration per_vm{};  // Added to the tail by a filler that has a whole VM.
   };
   // Of all pairs that have been seen beside each other.
