--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -382,7 +382,7 @@
       step.saves_progress ? job.progress.At(ref).checkpoint : "";
   job.progress.OnStarted(ref, run, name, now);
   // Its time there tells nothing of the others'.
-  if (vm.cold) job.progress.At(ref).whole = false;
+  if (vm.cold) job.progress.At(ref).measurable = false;
   ++counts_.starts;
   StartRuns& starts =
       starts_[{name, TaskRef{ref.workflow, ref.round, ref.step, 0}}];
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -169,7 +169,7 @@
         run.run >= task.run) {
       job->progress.OnStarted(run.task, run.run, name, now);
       job->progress.OnBegun();
-      job->progress.At(run.task).whole = false;  // It began before.
+      job->progress.At(run.task).measurable = false;  // It began before.
       ++counts_.adopted;
       run_log_.Note("run_adopted", run, name, "");
       return;
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -176,7 +176,7 @@
 
 void WorkflowProgress::Measure(const TaskRef& ref, const Task& task,
                                TimePoint now) {
-  if (task.phase != Phase::kHeld || !task.whole) return;
+  if (task.phase != Phase::kHeld || !task.measurable) return;
   const Duration ran = now - task.held_since;
   Measured& measured = measured_[ref.step];
   measured.shortest =
@@ -265,7 +265,7 @@
   task.run = std::max(task.run, run);
   task.vm = vm;
   task.held_since = now;
-  task.whole = task.checkpoint.empty();
+  task.measurable = task.checkpoint.empty();
 }
 
 void WorkflowProgress::OnBegun() {
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -98,7 +98,8 @@
     TimePoint held_since{};
     // When its last run ended; nothing before its first one.
     std::optional<TimePoint> away_since;
-    bool whole = false;  // The held run began then, with the task's beginning.
+    bool measurable =
+        false;  // The held run began then, with the task's beginning.
     TimePoint not_before{};  // Back-off after a refusal or a failure.
   };
 
