--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -9,8 +9,8 @@
 
 #include "beamhill/placement/interference_model.h"
 #include "beamhill/placement/placement_policy.h"
-#include "beamhill/placement/worker_health.h"
 #include "beamhill/placement/throttle_controller.h"
+#include "beamhill/placement/worker_health.h"
 
 namespace beamhill {
 namespace {
