--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -64,7 +64,8 @@
              (advice ? std::to_string(advice->tickets.size()) + " runners"
                      : "none came"));
   if (!advice) return;
-  const Duration life_of_ticket = job->progress.workflow().policy.ticket_life;
+  const Duration life_of_ticket =
+      job->progress.workflow().policy.ticket_lifetime;
   for (const auto& [life, text] : advice->tickets) {
     known.tickets[life] = {text, now + life_of_ticket};
   }
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -121,7 +121,7 @@
   void AddWorkflowThatNeedsAdvice() {
     Workflow workflow = SingleStepWorkflow("a", 2, 2);
     workflow.policy.needs_advice = true;
-    workflow.policy.ticket_life = ticket_life_;
+    workflow.policy.ticket_lifetime = ticket_life_;
     dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   }
 
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -61,12 +61,12 @@
   Duration target_latency{};  // Added to it.
   bool needs_advice = false;  // An outside policy restricts the VMs.
   // How long a ticket of its advisor holds.
-  Duration ticket_life{};
+  Duration ticket_lifetime{};
 
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.priority, s.max_attempts, s.stretch, s.target_latency,
-                    s.needs_advice, s.ticket_life);
+                    s.needs_advice, s.ticket_lifetime);
   }
 };
 
