--- a/beamhill/workflow/workflow.cc
+++ b/beamhill/workflow/workflow.cc
@@ -5,11 +5,11 @@
 namespace beamhill {
 namespace {
 
-// Beyond these a single submission would take an entry's memory.
-constexpr uint32_t kMaxTasksOfStep = 10'000;
+// Limits that keep a single submission from exhausting an entry's memory.
+constexpr uint32_t kMaxTasksPerStep = 10'000;
 constexpr size_t kMaxSteps = 100;
 constexpr uint32_t kMaxRounds = 1'000;
-constexpr uint64_t kMaxTasksOfWorkflow = 100'000;
+constexpr uint64_t kMaxTasksPerWorkflow = 100'000;
 
 Error Invalid(const std::string& message) {
   return {ErrorCode::kInvalidArgument, message, "correct the workflow"};
@@ -18,17 +18,17 @@
 std::optional<Error> CheckStep(const Workflow& workflow, size_t number) {
   const WorkflowStep& step = workflow.steps[number];
   const std::string name = "step " + std::to_string(number);
-  if (step.tasks == 0 || step.tasks > kMaxTasksOfStep) {
-    return Invalid(name + " needs 1 to " + std::to_string(kMaxTasksOfStep) +
-                   " tasks");
+  if (step.tasks == 0 || step.tasks > kMaxTasksPerStep) {
+    return Invalid(name + " must have 1 to " +
+                   std::to_string(kMaxTasksPerStep) + " tasks");
   }
   if (step.each.cpu_millis < 0 || step.each.memory_mib < 0 ||
       step.each.accelerators < 0) {
-    return Invalid(name + " asks for less than nothing");
+    return Invalid(name + " requests a negative amount of a resource");
   }
   for (const uint32_t earlier : step.after) {
     if (earlier >= number) {
-      return Invalid(name + " may only wait for steps before it");
+      return Invalid(name + " may only wait for earlier steps");
     }
   }
   return std::nullopt;
@@ -43,20 +43,22 @@
 
 std::optional<Error> CheckWorkflow(const Workflow& workflow) {
   if (workflow.steps.empty() || workflow.steps.size() > kMaxSteps) {
-    return Invalid("a workflow needs 1 to " + std::to_string(kMaxSteps) +
+    return Invalid("a workflow must have 1 to " + std::to_string(kMaxSteps) +
                    " steps");
   }
   if (workflow.repetitions > kMaxRounds) {
-    return Invalid("at most " + std::to_string(kMaxRounds) + " repetitions");
+    return Invalid("a workflow may have at most " + std::to_string(kMaxRounds) +
+                   " repetitions");
   }
   uint64_t tasks = 0;
   for (size_t i = 0; i < workflow.steps.size(); ++i) {
     if (auto error = CheckStep(workflow, i)) return error;
     tasks += workflow.steps[i].tasks;
   }
-  if (tasks * workflow.rounds() > kMaxTasksOfWorkflow) {
-    return Invalid("at most " + std::to_string(kMaxTasksOfWorkflow) +
-                   " tasks in all");
+  if (tasks * workflow.rounds() > kMaxTasksPerWorkflow) {
+    return Invalid("a workflow may have at most " +
+                   std::to_string(kMaxTasksPerWorkflow) +
+                   " tasks over all rounds");
   }
   return std::nullopt;
 }
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -1,5 +1,5 @@
-// A workflow: a job of several steps, each a set of like tasks, with an order
-// between the steps.
+// Defines a workflow: a job of several steps, each a set of identical tasks,
+// with dependencies between the steps.
 //
 //   Workflow w;
 //   w.id = "5c0e7a21d94b36f8";
@@ -22,27 +22,28 @@
 
 namespace beamhill {
 
-// Milliseconds since 1970 by the wall clock; due times are given in these.
+// Milliseconds since the Unix epoch on the wall clock; the unit of due times.
 using UnixMillis = std::chrono::milliseconds;
 
-// One step: `tasks` tasks that run the same image with the same needs.
+// A step: `tasks` tasks that run the same image and request the same resources.
 struct WorkflowStep {
   uint32_t tasks = 0;
-  Resources each;
-  Duration declared_run{};       // The submitter's guess of one task's time.
-  std::vector<uint32_t> after;   // Steps that must be done first.
-  bool saves_progress = false;   // Tasks can resume from a checkpoint.
-  bool gang = false;             // All tasks start together and end together.
-  bool same_rack = false;        // A gang that is slower when spread.
-  bool redundant = false;        // Copies of a task may run side by side.
-  bool long_running = false;     // Runs until the workflow is cancelled.
-  bool best_effort = false;      // Takes processor time that others leave.
-  uint32_t max_per_vm = 0;       // Most tasks of the step on a VM; 0: any.
-  uint32_t max_unavailable = 0;  // Long-running tasks we may take away at once.
-  std::string required_label;    // A label the VM must have; empty: any.
-  std::string preferred_rack;    // The rack where the data lies; empty: any.
-  std::string image;             // Tasks of an image behave alike.
-  Duration tail_target{};        // Of a serving task's own users; 0: none.
+  Resources each;               // Requested by each task.
+  Duration declared_run{};      // The submitter's estimate for one task.
+  std::vector<uint32_t> after;  // Steps that must be done first.
+  bool saves_progress = false;  // Tasks can resume from a checkpoint.
+  bool gang = false;            // All tasks start together and end together.
+  bool same_rack = false;       // A gang that is slower when spread.
+  bool redundant = false;       // Copies of a task may run side by side.
+  bool long_running = false;    // Runs until the workflow is cancelled.
+  bool best_effort = false;     // Uses only CPU time that others leave over.
+  uint32_t max_per_vm = 0;      // Tasks of the step on one VM; 0: unlimited.
+  // Long-running tasks of the step that may be stopped at once to be moved.
+  uint32_t max_unavailable = 0;
+  std::string required_label;  // A label the VM must have; empty: any VM.
+  std::string preferred_rack;  // The rack of the step's data; empty: none.
+  std::string image;           // Tasks of one image behave alike.
+  Duration tail_target{};  // Tail latency target of a serving task; 0: none.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -53,15 +54,14 @@
   }
 };
 
-// What the queue's settings said when the workflow was accepted.
+// The settings of the workflow's queue when the workflow was accepted.
 struct QueuePolicy {
-  int32_t priority = 0;       // 0 goes first.
-  uint32_t max_attempts = 1;  // Failed runs of a task before it is given up.
-  double stretch = 1;         // Allowed time over the longest chain of work.
-  Duration target_latency{};  // Added to it.
-  bool needs_advice = false;  // An outside policy restricts the VMs.
-  // How long a ticket of its advisor holds.
-  Duration ticket_lifetime{};
+  int32_t priority = 0;        // The lowest goes first.
+  uint32_t max_attempts = 1;   // Runs of a task, all failed.
+  double stretch = 1;          // Allowed time over the critical path.
+  Duration target_latency{};   // Added to the allowed time.
+  bool needs_advice = false;   // The placement advisor restricts the VMs.
+  Duration ticket_lifetime{};  // Validity of the placement advisor's tickets.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -70,21 +70,23 @@
   }
 };
 
+// A workflow as it is submitted and stored.
 struct Workflow {
   std::string id;
   std::string queue;
-  std::string service;  // Whose VMs run the tasks.
-  std::string payload;  // Handed to every task, unread.
+  std::string service;  // The service whose VMs run the tasks.
+  std::string payload;  // Passed to every task, uninterpreted.
   std::vector<WorkflowStep> steps;
-  uint32_t repetitions = 0;  // 0: runs once, at once.
+  // Rounds at `first_due` and each `interval` after it; 0: one round, at once.
+  uint32_t repetitions = 0;
   UnixMillis first_due{};
   UnixMillis interval{};
   QueuePolicy policy;
-  // The epoch of the owner that was told of the workflow when it was stored;
-  // no other owner has started any of it without a record of its own.
+  // The epoch of the owner that the workflow was offered to when it was stored.
+  // Any other owner stores a ProgressRecord before it starts a task.
   uint64_t offered_to_epoch = 0;
 
-  // How many times all steps run.
+  // The number of times that all steps run.
   uint32_t rounds() const { return repetitions == 0 ? 1 : repetitions; }
 
   template <typename S>
@@ -94,7 +96,7 @@
   }
 };
 
-// One task of a workflow.
+// Identifies a task of a workflow.
 struct TaskRef {
   std::string workflow;
   uint32_t round = 0;
@@ -110,7 +112,8 @@
   std::string ToString() const;
 };
 
-// One start of a task. Numbers of one task only rise.
+// Identifies a run, which is one start of a task. Run numbers of a task
+// increase.
 struct RunRef {
   TaskRef task;
   uint64_t run = 0;
@@ -123,12 +126,13 @@
   bool operator==(const RunRef& o) const { return Fields(*this) == Fields(o); }
 };
 
-// What is wrong with the workflow, if anything: no steps, too many tasks, a
-// step that waits for itself or a later one, a need below zero.
+// Returns kInvalidArgument if the workflow has no steps or too many steps,
+// rounds or tasks, if a step waits for itself or a later one, or if it requests
+// a negative amount of a resource.
 std::optional<Error> CheckWorkflow(const Workflow& workflow);
 
-// The longest chain of steps that wait for each other, where each step takes
-// what `step_time` says of its number.
+// Returns the duration of the longest chain of dependent steps, each of which
+// takes `step_time` of its number.
 Duration CriticalPath(const Workflow& workflow,
                       const std::function<Duration(size_t step)>& step_time);
 
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -6,17 +6,19 @@
 namespace beamhill {
 namespace {
 
-// Tasks of a step that are done before they tell how long the others take.
-constexpr int kEnoughMeasured = 2;
-// A usual task over the shortest of its step: the users' differ by some 15 %.
-constexpr double kUnevenness = 1.15;
-// A task is given up after so many runners that went down as it began. The
-// users allow two starts after the third. Where runners are lost for other
-// reasons alone, 4 give up none of 126,000 sound workflows (up to 0.5 losses a
-// second on 11 VMs, or three VMs that lose theirs each 4 s) and 4 of 42,000
-// where both go on; 3, two of them alone on their runner, gave up 5 of 42,000
-// at 0.5 losses a second. Replays of 100 s, 150 seeds each.
-constexpr size_t kMostCrashes = 4;
+// Measured runs of a step before its expected run time is based on them.
+constexpr int kMinMeasuredRuns = 2;
+// Run time of a typical task over the shortest of its step: tasks of one step
+// differ by some 15 %.
+constexpr double kTypicalOverShortest = 1.15;
+// Runners that a task may crash at its start before its workflow fails. Users
+// allow two starts after the third crash. In replays of 100 s with 150 seeds
+// each, a limit of 4 failed none of 126,000 sound workflows where runners were
+// lost for other reasons only (0.5 losses a second on 11 VMs, or three VMs that
+// lose their runner every 4 s), and 4 of 42,000 where both kinds of loss
+// occurred together. A limit of 3, two of them with no other workflow's task on
+// the runner, failed 5 of 42,000 at 0.5 losses a second.
+constexpr size_t kMaxCrashes = 4;
 
 }  // namespace
 
@@ -64,7 +66,7 @@
   for (uint32_t round = 0; round < workflow_.rounds(); ++round) {
     for (const WorkflowStep& step : workflow_.steps) {
       tasks_.emplace_back(step.tasks);
-      undone_.push_back(step.tasks);
+      remaining_tasks_.push_back(step.tasks);
     }
   }
 }
@@ -153,7 +155,7 @@
       break;
     }
     for (uint32_t step = 0; step < workflow_.steps.size(); ++step) {
-      if (undone_[Slot(round, step)] == 0) continue;
+      if (remaining_tasks_[StepIndex(round, step)] == 0) continue;
       const std::vector<uint32_t>& after = workflow_.steps[step].after;
       const bool ready = std::all_of(
           after.begin(), after.end(),
@@ -165,20 +167,21 @@
 }
 
 std::optional<Duration> WorkflowProgress::MeasuredRun(uint32_t step) const {
-  const Measured& measured = measured_[step];
-  if (measured.runs < kEnoughMeasured) return std::nullopt;
-  return std::chrono::duration_cast<Duration>(kUnevenness * measured.shortest);
+  const DurationStats& measured = measured_[step];
+  if (measured.runs < kMinMeasuredRuns) return std::nullopt;
+  return std::chrono::duration_cast<Duration>(kTypicalOverShortest *
+                                              measured.shortest);
 }
 
 Duration WorkflowProgress::ExpectedRun(uint32_t step) const {
   return MeasuredRun(step).value_or(expected_[step]);
 }
 
-void WorkflowProgress::Measure(const TaskRef& ref, const Task& task,
-                               TimePoint now) {
+void WorkflowProgress::RecordDuration(const TaskRef& ref, const Task& task,
+                                      TimePoint now) {
   if (task.phase != Phase::kHeld || !task.measurable) return;
   const Duration ran = now - task.held_since;
-  Measured& measured = measured_[ref.step];
+  DurationStats& measured = measured_[ref.step];
   measured.shortest =
       measured.runs == 0 ? ran : std::min(measured.shortest, ran);
   ++measured.runs;
@@ -218,7 +221,7 @@
   for (uint32_t step = 0; step < workflow_.steps.size(); ++step) {
     const WorkflowStep& spec = workflow_.steps[step];
     const std::chrono::duration<double> each = ExpectedRun(step);
-    work += undone_[Slot(round, step)] * each.count() *
+    work += remaining_tasks_[StepIndex(round, step)] * each.count() *
             static_cast<double>(spec.each.cpu_millis) / kMillisOfCore;
   }
   return work;
@@ -246,16 +249,16 @@
 
 std::vector<WorkflowProgress::Task>& WorkflowProgress::TasksOf(uint32_t round,
                                                                uint32_t step) {
-  return tasks_[Slot(round, step)];
+  return tasks_[StepIndex(round, step)];
 }
 
 const std::vector<WorkflowProgress::Task>& WorkflowProgress::TasksOf(
     uint32_t round, uint32_t step) const {
-  return tasks_[Slot(round, step)];
+  return tasks_[StepIndex(round, step)];
 }
 
 bool WorkflowProgress::StepDone(uint32_t round, uint32_t step) const {
-  return undone_[Slot(round, step)] == 0;
+  return remaining_tasks_[StepIndex(round, step)] == 0;
 }
 
 void WorkflowProgress::OnStarted(const TaskRef& ref, uint64_t run,
@@ -277,10 +280,10 @@
   if (task.phase == Phase::kDone) return;
   task.phase = Phase::kDone;
   task.vm.clear();
-  --undone_[Slot(ref.round, ref.step)];
+  --remaining_tasks_[StepIndex(ref.round, ref.step)];
 }
 
-void WorkflowProgress::StopHolding(Task& task, uint64_t run, TimePoint now) {
+void WorkflowProgress::ReleaseRun(Task& task, uint64_t run, TimePoint now) {
   if (task.phase != Phase::kHeld || run < task.run) return;
   task.away_since = now;
   task.phase = Phase::kWaiting;
@@ -296,7 +299,7 @@
   failed.push_back(run);
   size_t failures = failed.size();
   if (step.gang) {
-    // A gang fails as a whole, whichever member it was.
+    // A gang fails as a whole, so the failures of all members count.
     failures = 0;
     for (const Task& member : TasksOf(ref.round, ref.step)) {
       failures += member.failed_runs.size();
@@ -314,17 +317,17 @@
   Task& task = At(ref);
   const WorkflowStep& step = workflow_.steps[ref.step];
   if (task.phase == Phase::kDone || over()) {
-    StopHolding(task, run, now);
+    ReleaseRun(task, run, now);
     return false;
   }
-  // Of a run that is let go it isn't known.
+  // Whether a run with an expired lease had begun is unknown.
   const bool had_begun =
       kind != RunEndKind::kNotBegun && kind != RunEndKind::kLapsed;
   if (had_begun) OnBegun();
   if (kind == RunEndKind::kDone && !step.long_running) {
-    if (run == task.run) Measure(ref, task, now);
+    if (run == task.run) RecordDuration(ref, task, now);
     if (step.gang) {
-      // One member's end counts for all of them.
+      // A gang is done when one of its members is.
       std::vector<Task>& all = TasksOf(ref.round, ref.step);
       for (uint32_t i = 0; i < all.size(); ++i) {
         MarkDone({ref.workflow, ref.round, ref.step, i}, all[i]);
@@ -332,17 +335,18 @@
     } else {
       MarkDone(ref, task);
     }
-    Settle();
+    CompleteIfAllDone();
     return true;
   }
-  StopHolding(task, run, now);
+  ReleaseRun(task, run, now);
   if (!checkpoint.empty()) task.checkpoint = checkpoint;
   return kind == RunEndKind::kFailed && CountFailure(ref, run);
 }
 
 bool WorkflowProgress::OnRunnerCrash(const TaskRef& ref, uint64_t run) {
   Task& task = At(ref);
-  if (over() || task.phase == Phase::kDone || run <= task.outlived) {
+  if (over() || task.phase == Phase::kDone ||
+      run <= task.highest_survived_run) {
     return false;
   }
   std::vector<uint64_t>& crashed = task.crashed_runs;
@@ -350,13 +354,13 @@
     return false;
   }
   crashed.push_back(run);
-  if (crashed.size() >= kMostCrashes) state_ = WorkflowState::kFailed;
+  if (crashed.size() >= kMaxCrashes) state_ = WorkflowState::kFailed;
   return true;
 }
 
 bool WorkflowProgress::OnStartSurvived(const TaskRef& ref, uint64_t run) {
   Task& task = At(ref);
-  task.outlived = std::max(task.outlived, run);
+  task.highest_survived_run = std::max(task.highest_survived_run, run);
   std::vector<uint64_t>& crashed = task.crashed_runs;
   const auto cleared =
       std::remove_if(crashed.begin(), crashed.end(),
@@ -366,9 +370,10 @@
   return changed;
 }
 
-void WorkflowProgress::Settle() {
-  const bool all_done = std::all_of(undone_.begin(), undone_.end(),
-                                    [](uint32_t n) { return n == 0; });
+void WorkflowProgress::CompleteIfAllDone() {
+  const bool all_done =
+      std::all_of(remaining_tasks_.begin(), remaining_tasks_.end(),
+                  [](uint32_t n) { return n == 0; });
   if (all_done) state_ = WorkflowState::kCompleted;
 }
 
--- a/beamhill/workflow/workflow_progress.h
+++ b/beamhill/workflow/workflow_progress.h
@@ -1,13 +1,15 @@
-// How far one workflow has come: which tasks are done, waiting or running,
-// how often each has failed, and whether the whole is over.
+// Tracks the progress of one workflow: which tasks are waiting, held by a VM or
+// done, how often each has failed, and whether the workflow is over.
 //
-// Pure. The record that outlives the process (`ProgressRecord`) holds only
-// what can't be rebuilt from the VMs' inventories: ends that were settled.
+// Reads no clock and does no I/O. The stored `ProgressRecord` holds only what
+// can't be rebuilt from the VMs' inventories: the outcome of runs whose ends
+// were acknowledged, so that the VMs no longer list them.
 //
 //   WorkflowProgress progress(workflow);
-//   for (TaskRef task : progress.Ready(now_unix)) ...
+//   for (const auto& [round, step] : progress.OpenSteps(unix_now)) ...
 //   progress.OnStarted(task, run, vm, now);
-//   progress.OnEnded(task, run, RunEndKind::kDone, "");
+//   progress.OnBegun();
+//   progress.OnEnded(task, run, RunEndKind::kDone, /*checkpoint=*/"", now);
 #ifndef BEAMHILL_WORKFLOW_WORKFLOW_PROGRESS_H_
 #define BEAMHILL_WORKFLOW_WORKFLOW_PROGRESS_H_
 
@@ -28,17 +30,18 @@
   kFailed,
   kCancelled,
 };
+// The state's name in the callers' API.
 std::string_view WorkflowStateName(WorkflowState state);
 
 // How one run of a task ended.
 enum class RunEndKind : uint8_t {
   kDone,
   kFailed,
-  kStopped,   // On our order.
-  kLapsed,    // Its lease ran out.
+  kStopped,   // As ordered by the owner.
+  kLapsed,    // Its lease expired.
   kBroken,    // Another member of its gang ended.
   kAlone,     // Its gang was never complete.
-  kNotBegun,  // Refused, or proven never to begin.
+  kNotBegun,  // Rejected by the runner, or known never to begin.
 };
 std::string_view RunEndKindName(RunEndKind kind);
 
@@ -47,8 +50,8 @@
   uint32_t round = 0;
   uint32_t step = 0;
   std::vector<uint32_t> done_ranges;  // begin, end, begin, end, ...
-  // Ends and losses are heard of in any order and more than once, so it takes
-  // the runs themselves to count them.
+  // The runs of one task. Ends and losses are reported in any order and more
+  // than once, so runs are listed instead of counted.
   struct RunsOfTask {
     uint32_t index = 0;
     std::vector<uint64_t> runs;
@@ -61,17 +64,17 @@
   std::vector<RunsOfTask> failures;
   std::vector<RunsOfTask> crashes;
 
-  static constexpr size_t kFieldsAtFirst = 4;
+  static constexpr size_t kFieldsAtFirst = 4;  // Old records lack `crashes`.
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.round, s.step, s.done_ranges, s.failures, s.crashes);
   }
 };
 
-// What is stored of a workflow's progress.
+// The stored part of a workflow's progress.
 struct ProgressRecord {
-  uint64_t opened_by_epoch =
-      0;  // Epoch of the owner that may have started tasks.
+  // Epoch of the latest owner that may have started tasks.
+  uint64_t opened_by_epoch = 0;
   WorkflowState state = WorkflowState::kQueued;
   std::vector<StepRecord> steps;
 
@@ -83,24 +86,26 @@
 
 class WorkflowProgress {
  public:
+  // kHeld: a VM holds the task's latest run, or was ordered to start it.
   enum class Phase : uint8_t { kWaiting, kHeld, kDone };
   struct Task {
     Phase phase = Phase::kWaiting;
-    uint64_t run = 0;  // The highest run that is known of.
+    uint64_t run = 0;  // The highest known run.
     std::vector<uint64_t> failed_runs;
-    // Runs that had only just begun when their runner went down, since the last
-    // one that outlived its start.
+    // Runs that had only just started when their runner was lost, above
+    // `highest_survived_run`.
     std::vector<uint64_t> crashed_runs;
-    uint64_t outlived = 0;  // The highest run that is known to have.
-    std::string vm;         // Where the task is held.
-    std::string avoid_vm;   // Where it failed or starved last.
+    uint64_t highest_survived_run = 0;  // See OnStartSurvived.
+    std::string vm;                     // The VM that holds the task.
+    std::string avoid_vm;  // The VM on which it failed or starved last.
     std::string checkpoint;
     TimePoint held_since{};
-    // When its last run ended; nothing before its first one.
+    // The end of the last run; nullopt before the first one.
     std::optional<TimePoint> away_since;
-    bool measurable =
-        false;  // The held run began then, with the task's beginning.
-    TimePoint not_before{};  // Back-off after a refusal or a failure.
+    // Whether the held run executes the whole task, from its beginning and not
+    // on a cold VM, so that its duration counts as a measurement.
+    bool measurable = false;
+    TimePoint not_before{};  // Backoff after a rejection or a failure.
   };
 
   explicit WorkflowProgress(Workflow workflow);
@@ -108,39 +113,43 @@
   const Workflow& workflow() const { return workflow_; }
   WorkflowState state() const { return state_; }
   bool over() const { return state_ >= WorkflowState::kCompleted; }
-  // Whether some task has begun, now or earlier.
+  // Whether a runner has ever begun a task.
   bool begun() const { return begun_; }
 
-  // Takes over what was stored.
+  // Applies a stored record. Call it before any other change.
   void Restore(const ProgressRecord& record);
+  // Returns the record to store, opened by the owner under `epoch`.
   ProgressRecord Record(uint64_t epoch) const;
 
-  // Steps of rounds whose time has come and whose earlier steps are done, and
-  // which still have a waiting task. `now` is on the wall clock.
+  // A step of a due round that isn't done although all steps that it waits for
+  // are.
   struct OpenStep {
     uint32_t round = 0;
     uint32_t step = 0;
   };
+  // Returns the open steps, by round and step. `now` is on the wall clock.
   std::vector<OpenStep> OpenSteps(UnixMillis now) const;
-  // What a task of the step is expected to take; as declared at first. Tasks of
-  // the step that are done say it best.
+  // Returns the expected run time of a task of the step: measured if possible,
+  // otherwise as set by set_expected_run, initially as declared.
   Duration ExpectedRun(uint32_t step) const;
-  // What others of its kind make one expect, until some of its own are done.
+  // Sets the expectation from similar workflows, which holds until enough tasks
+  // of the step itself are done.
   void set_expected_run(uint32_t step, Duration run) { expected_[step] = run; }
-  // By the shortest run of a task of the step that was done in one go, since
-  // others may have been held back; nothing before there are a few.
+  // Returns the typical run time of the step's tasks, estimated from the
+  // shortest measurable run since others may have been throttled; nullopt
+  // before there are enough runs.
   std::optional<Duration> MeasuredRun(uint32_t step) const;
-  // The time that the longest chain of what is not done is expected to take; a
-  // task that runs counts for what is left of its own.
+  // Returns the expected duration of the round's critical path over steps that
+  // aren't done. A running task counts with its remaining time.
   Duration RemainingCriticalPath(uint32_t round, TimePoint now) const;
-  // How often a task of the step has failed, of the one that did so most.
+  // Returns the number of failed runs of the step's task that has most of them.
   size_t MaxFailures(uint32_t round, uint32_t step) const;
-  // The expected processor time of a round's tasks that are not done, in
-  // core-seconds.
+  // Returns the expected CPU time of the round's tasks that aren't done.
   double RemainingCoreSeconds(uint32_t round) const;
-  // Whether a round that is not yet due remains.
+  // Whether a round remains that isn't due yet.
   bool HasLaterRound(UnixMillis now) const;
 
+  // The task must exist; see Has.
   Task& At(const TaskRef& task);
   const Task& At(const TaskRef& task) const;
   bool Has(const TaskRef& task) const;
@@ -148,50 +157,54 @@
   const std::vector<Task>& TasksOf(uint32_t round, uint32_t step) const;
   bool StepDone(uint32_t round, uint32_t step) const;
 
-  // A start is ordered; a runner may never begin it.
+  // Records that a VM was ordered to start the run, which may never begin.
   void OnStarted(const TaskRef& ref, uint64_t run, const std::string& vm,
                  TimePoint now);
-  // A runner is known to have begun some task. Until then the workflow waits:
-  // with runners that leave orders unanswered, what counted from the order on
-  // told callers of 3 waiting workflows where 9 had waited for 5 s.
+  // Records that a runner has begun some task; the workflow counts as queued
+  // until then. If it counted as running once ordered, runners that leave
+  // orders unanswered would hide waiting workflows: callers were told of 3
+  // where 9 had waited for 5 s.
   void OnBegun();
-  // The run is over. Returns whether the stored record has changed. An end of
-  // a run other than the held one changes nothing but a `kDone`.
+  // Records the end of a run; returns whether the record to store has changed.
+  // The end of a run other than the held one does not release the task, but
+  // kDone finishes it and kFailed is counted.
   bool OnEnded(const TaskRef& ref, uint64_t run, RunEndKind kind,
                const std::string& checkpoint, TimePoint now);
-  // A runner went down while the run had only just begun there. Fails the
-  // workflow once that has happened to the task too often. Returns whether the
-  // stored record has changed; the end of the run is told by OnEnded.
+  // Records that a runner was lost when the run had only just started there.
+  // Fails the workflow if this has happened to the task too often. Returns
+  // whether the record to store has changed. The end of the run is reported by
+  // OnEnded.
   bool OnRunnerCrash(const TaskRef& ref, uint64_t run);
-  // The run has shown that its task does not always take runners down at its
-  // start: crashes before it count no more. Returns whether the stored record
-  // has changed.
+  // Records that the run outlasted the window in which it could crash its
+  // runner: the task's crashes up to this run no longer count. Returns whether
+  // the record to store has changed.
   bool OnStartSurvived(const TaskRef& ref, uint64_t run);
+  // Has no effect if the workflow is over.
   void Cancel();
 
  private:
-  size_t Slot(uint32_t round, uint32_t step) const {
+  size_t StepIndex(uint32_t round, uint32_t step) const {
     return round * workflow_.steps.size() + step;
   }
   Duration RemainingOf(uint32_t round, uint32_t step, TimePoint now) const;
-  void Measure(const TaskRef& ref, const Task& task, TimePoint now);
-  void Settle();
+  void RecordDuration(const TaskRef& ref, const Task& task, TimePoint now);
+  void CompleteIfAllDone();
   void MarkDone(const TaskRef& ref, Task& task);
   bool CountFailure(const TaskRef& ref, uint64_t run);
-  void StopHolding(Task& task, uint64_t run, TimePoint now);
+  void ReleaseRun(Task& task, uint64_t run, TimePoint now);
 
   Workflow workflow_;
   WorkflowState state_ = WorkflowState::kQueued;
   bool begun_ = false;
-  std::vector<std::vector<Task>> tasks_;  // By round and step.
-  std::vector<uint32_t> undone_;          // Tasks not done, by round and step.
-  // By step, over all rounds.
-  struct Measured {
+  std::vector<std::vector<Task>> tasks_;   // By round and step.
+  std::vector<uint32_t> remaining_tasks_;  // Tasks not done, by round and step.
+  // Measured runs of a step's tasks.
+  struct DurationStats {
     int runs = 0;
     Duration shortest{};
   };
-  std::vector<Duration> expected_;
-  std::vector<Measured> measured_;
+  std::vector<Duration> expected_;       // By step, over all rounds.
+  std::vector<DurationStats> measured_;  // By step, over all rounds.
 };
 
 }  // namespace beamhill
