--- a/beamhill/placement/fair_order.h
+++ b/beamhill/placement/fair_order.h
@@ -1,9 +1,9 @@
-// Whose task starts next: the team with the smallest dominant share of the
-// cell, within its quota.
+// Decides which team's task starts next by dominant resource fairness (DRF):
+// the team with the smallest dominant share of the cell, within its quota.
 //
-// Pure. A team's share is the largest, over processors, memory and
-// accelerators, of its running tasks' part of the cell. A quota is a share of
-// each cell, so no cell needs to know what a team uses elsewhere.
+// Reads no clock and does no I/O. A team's dominant share is the largest of its
+// running tasks' shares of the cell's CPU, memory and accelerators. A quota is
+// a share of each cell, so no cell needs to know what a team uses elsewhere.
 //
 //   FairOrder order(cell_capacity, quota);
 //   order.AddUsage("team-a", granted);
@@ -25,9 +25,11 @@
 
 namespace beamhill {
 
-// The largest share of `whole` that `part` takes in any dimension.
+// Returns the largest share of `whole` that `part` takes in any dimension. A
+// dimension that `whole` lacks counts as 0.
 double DominantShare(const Resources& part, const Resources& whole);
 
+// Tracks the teams' usage and orders those with waiting work.
 class FairOrder {
  public:
   // `quota` is the largest share of a cell that a team may hold, in (0, 1].
@@ -36,12 +38,12 @@
   FairOrder(const Resources& capacity, Quota quota);
 
   void AddUsage(const std::string& team, const Resources& amount);
-  // The team has work waiting.
+  // Adds a team that has waiting work, ranked by its present share.
   void AddWaiting(const std::string& team);
-  // The team to serve next; it is not offered again unless AddWaiting is
-  // called.
+  // Removes and returns the team to serve next, nullopt if none is waiting.
+  // Call AddWaiting again if it has more work.
   std::optional<std::string> Next();
-  // Whether the team may hold so much more.
+  // Whether the team stays within its quota with `more` on top of its usage.
   bool WithinQuota(const std::string& team, const Resources& more) const;
 
  private:
--- a/beamhill/placement/interference_model.cc
+++ b/beamhill/placement/interference_model.cc
@@ -13,20 +13,21 @@
 using Matrix = ublas::matrix<double>;
 using Vector = ublas::vector<double>;
 
-// Features: the constant, the sum of all shares, then one for each class.
-constexpr size_t kConstant = 0;
-constexpr size_t kShared = 1;
+// Indices of features: the intercept, the sum of all shares, then one per
+// class.
+constexpr size_t kIntercept = 0;
+constexpr size_t kTotalShare = 1;
 constexpr size_t kFirstClass = 2;
-// Classes beyond these are known by the shared weight only.
+// Further classes are covered by the shared weight only.
 constexpr size_t kMaxClasses = 24;
 
-// Weight that an observation keeps when the next one comes: half is left
-// after some 1,400, a few minutes of a cell.
-constexpr double kForgetting = 0.9995;
-// Prior precision of the constant: almost none.
-constexpr double kConstantPrior = 1e-3;
-// Least prediction, in units of the first latency seen.
-constexpr double kFloor = 0.01;
+// Discount of earlier observations by each new one. Half of an observation's
+// weight is left after some 1,400, which is a few minutes in a cell.
+constexpr double kForgettingFactor = 0.9995;
+// Prior precision of the intercept, which is almost unconstrained.
+constexpr double kInterceptPrior = 1e-3;
+// In units of the first latency observed.
+constexpr double kMinPrediction = 0.01;
 
 }  // namespace
 
@@ -35,15 +36,16 @@
 
   InterferencePriors priors;
   std::map<std::string, size_t> classes;
-  // Discounted sums of scaled products; the prior is added when solving.
+  // Discounted sums of scaled feature products and of scaled features times
+  // latency; the prior is added when solving.
   Matrix products = ublas::zero_matrix<double>(kFirstClass, kFirstClass);
   Vector targets = ublas::zero_vector<double>(kFirstClass);
   Vector weights = ublas::zero_vector<double>(kFirstClass);
   Matrix covariance = ublas::identity_matrix<double>(kFirstClass);
-  double squared_error = 0.1;  // Of scaled residuals, smoothed.
+  double squared_error = 0.1;  // Smoothed, of scaled residuals.
   size_t samples = 0;
-  bool stale = false;  // Something was observed since the last solution.
-  // Latencies are counted in this unit, the first one seen, so that the prior
+  bool stale = false;  // Observations are missing from `weights`.
+  // The first latency observed. Latencies are in this unit, so that the prior
   // means the same for services of any speed.
   double unit_us = 1;
 
@@ -71,9 +73,9 @@
 
   Vector Features(const ClassLoads& loads) const {
     Vector x = ublas::zero_vector<double>(size());
-    x(kConstant) = 1;
+    x(kIntercept) = 1;
     for (const auto& [name, share] : loads) {
-      x(kShared) += share;
+      x(kTotalShare) += share;
       const auto it = classes.find(name);
       if (it != classes.end()) x(it->second) = share;
     }
@@ -83,9 +85,9 @@
   void Solve() {
     stale = false;
     Matrix m = products;
-    m(kConstant, kConstant) += kConstantPrior;
-    m(kShared, kShared) += priors.shared;
-    for (size_t i = kFirstClass; i < size(); ++i) m(i, i) += priors.of_class;
+    m(kIntercept, kIntercept) += kInterceptPrior;
+    m(kTotalShare, kTotalShare) += priors.shared;
+    for (size_t i = kFirstClass; i < size(); ++i) m(i, i) += priors.per_class;
     ublas::permutation_matrix<size_t> pivots(m.size1());
     if (ublas::lu_factorize(m, pivots) != 0) return;
     covariance = ublas::identity_matrix<double>(m.size1());
@@ -107,21 +109,21 @@
   }
   const double y = static_cast<double>(latency.count()) / m.unit_us;
   const double predicted = ublas::inner_prod(x, m.weights);
-  // Noise grows with latency, so each observation is scaled by what was
-  // expected of it.
-  const double scale = std::max({predicted, m.samples == 0 ? y : 0, kFloor});
+  // Noise grows with latency, so each observation is scaled by its prediction.
+  const double scale =
+      std::max({predicted, m.samples == 0 ? y : 0, kMinPrediction});
   const double residual = (y - predicted) / scale;
-  m.products *= kForgetting;
-  m.targets *= kForgetting;
+  m.products *= kForgettingFactor;
+  m.targets *= kForgettingFactor;
   m.products += ublas::outer_prod(x, x) / (scale * scale);
   m.targets += x * (y / (scale * scale));
-  if (m.samples > m.priors.solve_every) {
+  if (m.samples > m.priors.refit_interval) {
     m.squared_error +=
         0.01 * (std::min(residual * residual, 1.0) - m.squared_error);
   }
   m.stale = true;
-  if (++m.samples % m.priors.solve_every == 0 ||
-      m.samples < m.priors.solve_every) {
+  if (++m.samples % m.priors.refit_interval == 0 ||
+      m.samples < m.priors.refit_interval) {
     m.Solve();
   }
 }
@@ -134,13 +136,13 @@
 
 Duration InterferenceModel::Mean(const ClassLoads& loads) const {
   const Impl& m = *impl_;
-  double mean = m.weights(kConstant);
+  double mean = m.weights(kIntercept);
   for (const auto& [name, share] : loads) {
-    mean += share * m.weights(kShared);
+    mean += share * m.weights(kTotalShare);
     const auto it = m.classes.find(name);
     if (it != m.classes.end()) mean += share * m.weights(it->second);
   }
-  return m.FromUnits(std::max(kFloor, mean));
+  return m.FromUnits(std::max(kMinPrediction, mean));
 }
 
 InterferenceModel::Prediction InterferenceModel::Predict(
@@ -153,7 +155,7 @@
 }
 
 Duration InterferenceModel::WeightOf(const std::string& work_class) const {
-  double weight = impl_->weights(kShared);
+  double weight = impl_->weights(kTotalShare);
   const auto it = impl_->classes.find(work_class);
   if (it != impl_->classes.end()) weight += impl_->weights(it->second);
   return impl_->FromUnits(weight);
--- a/beamhill/placement/interference_model.h
+++ b/beamhill/placement/interference_model.h
@@ -1,12 +1,13 @@
-// How much each class of batch work slows a service on the same VM, learned
-// from late, noisy latencies.
+// Learns how much each class of batch work raises the latency of a service on
+// the same VM, from delayed and noisy reports.
 //
-// Pure. Latency is taken as linear in each class's share of the VM's
-// processors: b (1 + sum over classes of w x). All VMs of a cell feed one
-// model by ridge regression with forgetting. A class's weight is the sum of a
-// shared weight and its own deviation, and only the deviation is strongly
-// held to zero: a class with few samples therefore counts as an average one.
-// Predictions carry their uncertainty, so that a decision can price it.
+// Reads no clock and does no I/O. Latency is modelled as linear in each class's
+// share of the VM's CPU: b (1 + sum over classes of w x). The observations of
+// all VMs of a cell update one model by ridge regression with exponential
+// forgetting. A class's weight is the sum of a shared weight and the class's
+// deviation. Only the deviation is strongly regularised, so a class with few
+// samples counts as an average one. Predictions include their uncertainty for
+// use in decisions.
 //
 //   InterferenceModel model;
 //   model.Observe({{"revaluation", 0.5}}, latency);
@@ -23,28 +24,30 @@
 
 namespace beamhill {
 
-// Share of a VM's processors that tasks of a class use on it.
+// The share of a VM's CPU that the tasks of each class use on it.
 using ClassLoads = std::map<std::string, double>;
 
-// How firmly weights are held to zero, in observations of a whole VM's load.
+// Strength of the regularisation towards zero, as a number of observations of a
+// fully loaded VM.
 struct InterferencePriors {
-  double shared = 0.05;
-  double of_class = 0.5;
-  // Observations between two solutions: fewer learn sooner and cost more.
-  // Beyond these, whoever observes often calls Refit at times of its own.
-  size_t solve_every = 16;
+  double shared = 0.05;    // Of the shared weight.
+  double per_class = 0.5;  // Of each class's deviation.
+  // Observations between two automatic refits: fewer learn sooner and cost
+  // more. Callers that observe often set it high and call Refit themselves.
+  size_t refit_interval = 16;
 };
 
+// Predicts the latency of one service.
 class InterferenceModel {
  public:
   explicit InterferenceModel(const InterferencePriors& priors = {});
   ~InterferenceModel();
 
-  // The service's latency on a VM while these classes ran there.
+  // Adds the service's latency on a VM that had these loads.
   void Observe(const ClassLoads& loads, Duration latency);
 
-  // Takes in what was observed since the last solution; returns whether there
-  // was any.
+  // Refits the weights to all observations; returns whether there were any
+  // since the last refit.
   bool Refit();
 
   struct Prediction {
@@ -52,11 +55,12 @@
     Duration deviation{};  // One standard deviation of the estimate.
   };
   Prediction Predict(const ClassLoads& loads) const;
-  // The mean of Predict alone, at a fraction of its cost.
+  // Returns only the mean of Predict, at a fraction of its cost.
   Duration Mean(const ClassLoads& loads) const;
 
-  // How much a whole VM of the class would add to the latency.
+  // Returns the latency added by the class if it used all of a VM's CPU.
   Duration WeightOf(const std::string& work_class) const;
+  // The number of observations.
   size_t samples() const;
 
  private:
--- a/beamhill/placement/interference_test.cc
+++ b/beamhill/placement/interference_test.cc
@@ -15,7 +15,8 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr uint64_t kSeed = 20261202;
 
-// 20 ms alone; a whole VM of "noisy" adds 60 ms, of "quiet" 4 ms.
+// Returns 20 ms, plus 60 ms for a VM full of "noisy" or 4 ms for one full of
+// "quiet" in proportion to their shares, times `noise`.
 Duration Latency(const ClassLoads& loads, double noise) {
   double ms = 20;
   for (const auto& [name, share] : loads) {
@@ -24,7 +25,7 @@
   return Duration(static_cast<int64_t>(ms * noise * 1000));
 }
 
-void Teach(InterferenceModel* model, int samples) {
+void TrainModel(InterferenceModel* model, int samples) {
   std::mt19937_64 random(kSeed);
   std::uniform_real_distribution<double> share(0, 0.5);
   std::lognormal_distribution<double> noise(0, 0.25);
@@ -35,17 +36,17 @@
   }
 }
 
-TEST(InterferenceModel, TellsClassesApartThroughNoise) {
+TEST(InterferenceModel, SeparatesClassesDespiteNoise) {
   InterferenceModel model;
-  Teach(&model, 2000);
+  TrainModel(&model, 2000);
   EXPECT_NEAR(ToMillis(model.WeightOf("noisy")), 60, 12);
   EXPECT_NEAR(ToMillis(model.WeightOf("quiet")), 4, 8);
   EXPECT_NEAR(ToMillis(model.Predict({}).mean), 20, 3);
 }
 
-TEST(InterferenceModel, AnUnknownClassCountsAsAnAverageOneAndIsUncertain) {
+TEST(InterferenceModel, UnknownClassCountsAsAverageAndIsUncertain) {
   InterferenceModel model;
-  Teach(&model, 2000);
+  TrainModel(&model, 2000);
   const auto unknown = model.Predict({{"new", 0.5}});
   EXPECT_GT(unknown.mean, model.Predict({{"quiet", 0.5}}).mean);
   EXPECT_LT(unknown.mean, model.Predict({{"noisy", 0.5}}).mean);
@@ -54,7 +55,7 @@
             model.Predict({{"noisy", 0.5}}).deviation);
 }
 
-TEST(InterferenceModel, FollowsAChangeOfWeights) {
+TEST(InterferenceModel, AdaptsToAChangeOfWeights) {
   InterferenceModel model;
   for (int i = 0; i < 3000; ++i) {
     const double share = (i % 10) / 10.0;
@@ -69,21 +70,21 @@
   EXPECT_LT(ToMillis(model.WeightOf("a")), 12);
 }
 
-TEST(PlacementPolicy, TakesTheVmWithTheLeastHarmOrWaits) {
+TEST(PlacementPolicy, ChoosesTheVmWithTheLeastInterferenceOrWaits) {
   InterferenceModel model;
-  Teach(&model, 2000);
+  TrainModel(&model, 2000);
   const PlacementPolicy policy(
       [&model](const ClassLoads& loads) { return model.Predict(loads); }, {});
   const std::vector<VmLoad> vms = {{{{"noisy", 0.4}}, 0.5, 1},
                                    {{{"quiet", 0.5}}, 0.5, 1}};
   EXPECT_EQ(policy.Choose("noisy", 0.2, vms, milliseconds(80)), 1U);
   EXPECT_EQ(policy.Choose("noisy", 0.2, vms, milliseconds(25)), std::nullopt);
-  const std::vector<VmLoad> pressed = {{{{"quiet", 0.5}}, 0.5, 3}};
-  EXPECT_EQ(policy.Choose("noisy", 0.2, pressed, milliseconds(80)),
+  const std::vector<VmLoad> overloaded = {{{{"quiet", 0.5}}, 0.5, 3}};
+  EXPECT_EQ(policy.Choose("noisy", 0.2, overloaded, milliseconds(80)),
             std::nullopt);
 }
 
-TEST(PlacementPolicy, WeightsMoveTheLimit) {
+TEST(PlacementPolicy, WeightsSetTheLimit) {
   const auto none = [](const ClassLoads&) {
     return InterferenceModel::Prediction{};
   };
@@ -93,28 +94,28 @@
 }
 
 TEST(ThrottleController, ThrottlesThenEvictsThenReleases) {
-  ThrottleController ladder;
+  ThrottleController controller;
   TimePoint now = kStart;
-  std::vector<ThrottleAction> steps;
+  std::vector<ThrottleAction> actions;
   const auto run = [&](Duration latency, int for_seconds) {
     for (int i = 0; i < for_seconds; ++i) {
       now += seconds(1);
-      const ThrottleAction step =
-          ladder.Observe(latency, milliseconds(100), now);
-      if (step != ThrottleAction::kNone) steps.push_back(step);
+      const ThrottleAction action =
+          controller.Observe(latency, milliseconds(100), now);
+      if (action != ThrottleAction::kNone) actions.push_back(action);
     }
   };
   run(milliseconds(50), 10);
-  EXPECT_TRUE(steps.empty());
+  EXPECT_TRUE(actions.empty());
   run(milliseconds(200), 60);
-  ASSERT_EQ(steps.size(), 2U);
-  EXPECT_EQ(steps[0], ThrottleAction::kThrottle);
-  EXPECT_EQ(steps[1], ThrottleAction::kEvict);
+  ASSERT_EQ(actions.size(), 2U);
+  EXPECT_EQ(actions[0], ThrottleAction::kThrottle);
+  EXPECT_EQ(actions[1], ThrottleAction::kEvict);
   run(milliseconds(100), 60);
-  EXPECT_EQ(steps.size(), 2U) << "between the marks nothing changes";
+  EXPECT_EQ(actions.size(), 2U) << "no action between the two ratios";
   run(milliseconds(40), 40);
-  ASSERT_EQ(steps.size(), 3U);
-  EXPECT_EQ(steps[2], ThrottleAction::kRelease);
+  ASSERT_EQ(actions.size(), 3U);
+  EXPECT_EQ(actions[2], ThrottleAction::kRelease);
 }
 
 }  // namespace
--- a/beamhill/placement/pairwise_interference.cc
+++ b/beamhill/placement/pairwise_interference.cc
@@ -6,27 +6,30 @@
 namespace beamhill {
 namespace {
 
-// Observations of a serving image before its predictions count.
-constexpr size_t kEnoughSamples = 20;
-// A day has few images, and a wrong neighbour costs at once, so that weights
-// are learned from little: a pair seen for seconds at a tenth of a VM. The
-// first observations count at once; at hundreds of VMs an image has some
-// hundred a second, which are taken in together.
+// Observations of a serving image before predictions are returned for it.
+constexpr size_t kMinSamples = 20;
+// Weights have to be learned from little data, such as a pair observed for some
+// seconds at a tenth of a VM: deployments have few images, and a bad placement
+// harms at once. The long refit interval is for hundreds of VMs, where an image
+// has some hundred observations a second; the first ones refit the model at
+// once.
 constexpr InterferencePriors kPriors = {0.5, 0.01, 64};
 
-// How often, and at which share of a VM, a recalled weight counts as seen.
-constexpr int kRecalledTimes = 8;
-constexpr double kRecalledShare = 0.2;
+// Number of observations, and share of a VM's CPU in them, by which a stored
+// weight is restored.
+constexpr int kRestoredObservations = 8;
+constexpr double kRestoredShare = 0.2;
 
 }  // namespace
 
 PairwiseInterference::Learned::Learned() : model(kPriors) {}
 
 void PairwiseInterference::Observe(const std::string& serving,
-                                   const ClassLoads& fillers, Duration tail) {
+                                   const ClassLoads& best_effort,
+                                   Duration tail) {
   Learned& learned = by_serving_[serving];
-  learned.model.Observe(fillers, tail);
-  for (const auto& [filler, share] : fillers) learned.fillers.insert(filler);
+  learned.model.Observe(best_effort, tail);
+  for (const auto& [image, share] : best_effort) learned.images.insert(image);
 }
 
 bool PairwiseInterference::Refit() {
@@ -38,34 +41,34 @@
 }
 
 std::optional<Duration> PairwiseInterference::Predict(
-    const std::string& serving, const ClassLoads& fillers) const {
+    const std::string& serving, const ClassLoads& best_effort) const {
   const auto it = by_serving_.find(serving);
-  if (it == by_serving_.end() || it->second.model.samples() < kEnoughSamples) {
+  if (it == by_serving_.end() || it->second.model.samples() < kMinSamples) {
     return std::nullopt;
   }
-  return it->second.model.Mean(fillers);
+  return it->second.model.Mean(best_effort);
 }
 
 std::vector<PairwiseInterference::Weight> PairwiseInterference::Weights()
     const {
   std::vector<Weight> weights;
   for (const auto& [serving, learned] : by_serving_) {
-    if (learned.model.samples() < kEnoughSamples) continue;
-    for (const std::string& filler : learned.fillers) {
-      weights.push_back({serving, filler, learned.model.WeightOf(filler)});
+    if (learned.model.samples() < kMinSamples) continue;
+    for (const std::string& image : learned.images) {
+      weights.push_back({serving, image, learned.model.WeightOf(image)});
     }
   }
   return weights;
 }
 
 std::optional<Duration> PairwiseInterference::WeightOf(
-    const std::string& serving, const std::string& filler) const {
+    const std::string& serving, const std::string& best_effort) const {
   const auto it = by_serving_.find(serving);
   if (it == by_serving_.end()) return std::nullopt;
   const Learned& learned = it->second;
-  if (learned.model.samples() < kEnoughSamples) return std::nullopt;
-  if (learned.fillers.count(filler) == 0) return std::nullopt;
-  return learned.model.WeightOf(filler);
+  if (learned.model.samples() < kMinSamples) return std::nullopt;
+  if (learned.images.count(best_effort) == 0) return std::nullopt;
+  return learned.model.WeightOf(best_effort);
 }
 
 std::vector<PairwiseInterference::Summary> PairwiseInterference::Summaries()
@@ -85,12 +88,12 @@
 }
 
 void PairwiseInterference::Restore(const Summary& summary) {
-  for (int i = 0; i < kRecalledTimes; ++i) {
+  for (int i = 0; i < kRestoredObservations; ++i) {
     Observe(summary.serving, {}, summary.alone);
     for (const Weight& weight : summary.weights) {
       const auto added =
-          std::chrono::duration_cast<Duration>(weight.per_vm * kRecalledShare);
-      Observe(summary.serving, {{weight.best_effort, kRecalledShare}},
+          std::chrono::duration_cast<Duration>(weight.per_vm * kRestoredShare);
+      Observe(summary.serving, {{weight.best_effort, kRestoredShare}},
               std::max(summary.alone + added, Duration(0)));
     }
   }
--- a/beamhill/placement/pairwise_interference.h
+++ b/beamhill/placement/pairwise_interference.h
@@ -1,8 +1,8 @@
-// How much each image that fills slows each image that serves, learned from
-// late, noisy tails of all VMs.
+// Learns how much each best-effort image raises the tail latency of each
+// serving image, from delayed and noisy reports of all VMs.
 //
-// Pure. One InterferenceModel for each serving image, over the shares of a
-// VM's processors that filling images use beside it.
+// Reads no clock and does no I/O. It has one InterferenceModel per serving
+// image, over the shares of a VM's CPU that best-effort images use beside it.
 //
 //   PairwiseInterference learned;
 //   learned.Observe("web", {{"batch-7", 0.3}}, tail);
@@ -22,46 +22,51 @@
 
 namespace beamhill {
 
+// Predicts the tail latencies of all serving images.
 class PairwiseInterference {
  public:
-  // The tail of a serving image on a VM while these images filled it.
-  void Observe(const std::string& serving, const ClassLoads& fillers,
+  // Adds the tail latency of a serving image on a VM where best-effort images
+  // had these loads.
+  void Observe(const std::string& serving, const ClassLoads& best_effort,
                Duration tail);
 
-  // Brings predictions up to date with what was observed. Without a call they
-  // may trail it by some observations. Returns whether anything was new.
+  // Refits all models to all observations; without it predictions may lag
+  // behind by some observations. Returns whether there were new ones.
   bool Refit();
 
-  // The expected tail, or nothing while too little has been seen.
+  // Returns the expected tail latency; nullopt while there are too few
+  // observations.
   std::optional<Duration> Predict(const std::string& serving,
-                                  const ClassLoads& fillers) const;
+                                  const ClassLoads& best_effort) const;
 
+  // The effect of a best-effort image on a serving image.
   struct Weight {
     std::string serving;
     std::string best_effort;
-    Duration per_vm{};  // Added to the tail by a filler that has a whole VM.
+    Duration per_vm{};  // Added tail latency if it used all of a VM's CPU.
   };
-  // Of all pairs that have been seen beside each other.
+  // Returns the weights of all pairs that were observed on one VM.
   std::vector<Weight> Weights() const;
-  // Of one pair; nothing while too little has been seen of it.
+  // Returns the weight of one pair; nullopt while there are too few
+  // observations.
   std::optional<Duration> WeightOf(const std::string& serving,
-                                   const std::string& filler) const;
+                                   const std::string& best_effort) const;
 
-  // What was learned of one serving image, to be kept elsewhere.
+  // What was learned of one serving image, for storage.
   struct Summary {
     std::string serving;
-    Duration alone{};  // The tail with nothing beside it.
+    Duration alone{};  // Tail latency without best-effort load.
     std::vector<Weight> weights;
   };
   std::vector<Summary> Summaries() const;
-  // Takes a summary over, as if it had been seen a few times. What is
-  // observed from then on soon outweighs it.
+  // Adds a few observations that match the summary. Later observations soon
+  // outweigh them.
   void Restore(const Summary& summary);
 
  private:
   struct Learned {
     InterferenceModel model;
-    std::set<std::string> fillers;
+    std::set<std::string> images;  // Observed best-effort images.
     Learned();
   };
 
--- a/beamhill/placement/placement_policy.cc
+++ b/beamhill/placement/placement_policy.cc
@@ -6,14 +6,15 @@
 namespace beamhill {
 namespace {
 
-// Standard deviations of the estimate that count as harm.
-constexpr double kCaution = 1.0;
-// The limit when only tail latency counts, and when it does not count at all.
+// Standard deviations of the estimate that are added to the predicted latency.
+constexpr double kUncertaintyWeight = 1.0;
+// Limits of latency over target when tail latency has all the weight, and when
+// it has none.
 constexpr double kStrictLimit = 0.75;
 constexpr double kLooseLimit = 1.1;
-// How much an almost full VM is preferred to an empty one, in latency over
-// target: large tasks find room more easily when small ones are packed.
-constexpr double kPacking = 0.05;
+// Preference of a full VM over an empty one, in latency over target: large
+// tasks fit more often when small ones are packed.
+constexpr double kPackingWeight = 0.05;
 
 double LimitFor(const PolicyWeights& weights) {
   const double sum = std::max(
@@ -39,12 +40,12 @@
     ClassLoads after = vms[i].loads;
     after[work_class] += share;
     const auto predicted = predict_(after);
-    const double expected =
-        ToMillis(predicted.mean) + kCaution * ToMillis(predicted.deviation);
+    const double expected = ToMillis(predicted.mean) +
+                            kUncertaintyWeight * ToMillis(predicted.deviation);
     const double risk =
-        expected * std::max(1.0, vms[i].pressure) / ToMillis(target);
+        expected * std::max(1.0, vms[i].latency_ratio) / ToMillis(target);
     if (risk > limit_) continue;
-    const double cost = risk + kPacking * vms[i].free_share;
+    const double cost = risk + kPackingWeight * vms[i].free_share;
     if (best && cost >= best_cost) continue;
     best = i;
     best_cost = cost;
--- a/beamhill/placement/placement_policy.h
+++ b/beamhill/placement/placement_policy.h
@@ -1,9 +1,10 @@
-// Where a batch task does the least harm, and when it should rather wait.
+// Chooses the VM on which a batch task interferes least with the service, or
+// lets the task wait.
 //
-// Pure. Each VM that holds the task is priced by the service's predicted
-// latency with the task there, its uncertainty included, against the target.
-// The deployment's weights set how near to the target batch work may bring a
-// service.
+// Reads no clock and does no I/O. The cost of a VM that the task fits on is the
+// service's predicted latency with the task there, plus its uncertainty, over
+// the target. The deployment's weights set how close to the target batch work
+// may bring a service.
 //
 //   PlacementPolicy policy(model, weights);
 //   auto choice = policy.Choose("revaluation", 0.1, vms, target);
@@ -20,7 +21,7 @@
 
 namespace beamhill {
 
-// Relative weights of what users measure; only their ratios count.
+// Relative weights of the goals; only their ratios matter.
 struct PolicyWeights {
   double tail_latency = 50;
   double throughput = 30;
@@ -30,12 +31,13 @@
 // One VM on which the task would fit.
 struct VmLoad {
   ClassLoads loads;
-  double free_share = 0;  // Of its processors, before the task.
-  // The service's latency there lately, over what the model expects of the
-  // present load; above 1 when the service has more to do than usual.
-  double pressure = 1;
+  double free_share = 0;  // Of its CPU, without the task.
+  // The service's recent latency there over the one predicted for the present
+  // loads; above 1 when the service has more load than usual.
+  double latency_ratio = 1;
 };
 
+// Compares VMs by the predictions of `predict`.
 class PlacementPolicy {
  public:
   using Predict =
@@ -43,12 +45,13 @@
 
   PlacementPolicy(Predict predict, const PolicyWeights& weights);
 
-  // The VM to take, or none when waiting is better.
+  // Returns the index of the best VM, nullopt if all are above the limit and
+  // the task should wait. `share` is the part of a VM's CPU that the task uses.
   std::optional<size_t> Choose(const std::string& work_class, double share,
                                const std::vector<VmLoad>& vms,
                                Duration target) const;
 
-  // Latency over target up to which batch work may bring a service.
+  // The highest latency over target that batch work may cause.
   double limit() const { return limit_; }
 
  private:
--- a/beamhill/placement/serving_layout.h
+++ b/beamhill/placement/serving_layout.h
@@ -1,12 +1,14 @@
-// What the processor time that serving tasks leave on a VM is worth to tasks
-// that fill, by which images serve there.
+// Values the CPU that serving tasks leave free on a VM for best-effort tasks,
+// given which images serve there.
 //
-// Pure. A filling image can't work beside a serving image that it harms. A core
-// that any filler may use is worth one core; one that only some may use counts
-// less, the more so the scarcer the places for the others are.
+// Reads no clock and does no I/O. A best-effort image can't run beside a
+// serving image that it interferes with. A free core that all best-effort
+// images may use counts as one core. A core that only some may use counts less,
+// the more so the scarcer the cores for the excluded images are.
 //
-//   ServingLayout layout = ServingLayout::Create(demands, harms, vms);
-//   double lost = layout.Worth({"a"}, 8) - layout.Worth({"a", "b"}, 6);
+//   ServingLayout layout = ServingLayout::Create(demands, interferes, vms);
+//   double lost = layout.EffectiveCores({"a"}, 8) -
+//                 layout.EffectiveCores({"a", "b"}, 6);
 #ifndef BEAMHILL_PLACEMENT_SERVING_LAYOUT_H_
 #define BEAMHILL_PLACEMENT_SERVING_LAYOUT_H_
 
@@ -19,40 +21,45 @@
 
 namespace beamhill {
 
+// Holds the weights of the best-effort images at one time.
 class ServingLayout {
  public:
   using Images = std::set<std::string>;
-  // Cores that tasks of each filling image would like to have.
+  // The cores that tasks of each best-effort image request.
   using Demands = std::map<std::string, double>;
-  // Whether the filling image can't work beside the serving one.
-  using HarmHook = std::function<bool(const std::string& filling,
-                                      const std::string& serving)>;
+  // Whether the best-effort image interferes too much with the serving image to
+  // run beside it.
+  using InterferencePredicate = std::function<bool(
+      const std::string& best_effort, const std::string& serving)>;
 
   struct Vm {
     Images serving;
-    double free_cores = 0;  // Left for fillers.
+    double free_cores = 0;  // Not used by serving tasks.
   };
 
-  // Without demands nothing is worth anything. Beyond 64 filling images the
-  // ones that ask for least are not heeded.
-  static ServingLayout Create(const Demands& demands, const HarmHook& harms,
+  // Without demands every value is 0. Of more than 64 best-effort images, those
+  // with the lowest demand are ignored.
+  static ServingLayout Create(const Demands& demands,
+                              const InterferencePredicate& interferes,
                               const std::vector<Vm>& vms);
 
-  // In cores, at most `free_cores`.
+  // Returns the value of a VM's free cores beside these serving images, in
+  // cores and at most `free_cores`.
   double EffectiveCores(const Images& serving, double free_cores) const;
 
  private:
-  using Mask = uint64_t;  // A bit for each filling image.
+  using Mask = uint64_t;  // A bit for each best-effort image.
 
-  // The filling images that may work beside all of these.
-  Mask AllowedBeside(const Images& serving) const;
-  void LearnHarms(const Images& serving, const HarmHook& harms);
+  // Returns the best-effort images that may run beside all of these.
+  Mask AllowedWith(const Images& serving) const;
+  void AddInterference(const Images& serving,
+                       const InterferencePredicate& interferes);
 
-  std::vector<std::string> filling_;
-  // Part of the worth of a core that each filling image makes up: its demand
-  // over the cores that it may use, of the sum of these.
-  std::vector<double> importance_;
-  std::map<std::string, Mask> harmed_by_;  // By serving image.
+  std::vector<std::string> images_;  // Best-effort images, by bit of a mask.
+  // Part of a core's value that each best-effort image contributes: its demand
+  // over the cores that it may use, normalised to a sum of 1.
+  std::vector<double> image_weights_;
+  std::map<std::string, Mask> interfering_;  // By serving image.
 };
 
 }  // namespace beamhill
--- a/beamhill/placement/throttle_controller.h
+++ b/beamhill/placement/throttle_controller.h
@@ -1,12 +1,11 @@
-// When batch work on a VM yields to its service: throttle, then evict, then
-// back, with hysteresis.
+// Decides when the batch work of a VM is throttled, evicted and released in
+// favour of the VM's service, with hysteresis.
 //
-// Pure; one for each VM. It is fed the service's latency as it is reported
-// and says what to do next. An eviction is asked for only after throttling
-// has not helped for a while, and one at a time.
+// Reads no clock and does no I/O; there is one for each VM. An eviction is
+// requested only if throttling has not helped for some time, one at a time.
 //
-//   ThrottleController ladder;
-//   switch (ladder.Observe(latency, target, now)) {
+//   ThrottleController controller;
+//   switch (controller.Observe(latency, target, now)) {
 //     case ThrottleAction::kThrottle: ...
 #ifndef BEAMHILL_PLACEMENT_THROTTLE_CONTROLLER_H_
 #define BEAMHILL_PLACEMENT_THROTTLE_CONTROLLER_H_
@@ -19,13 +18,15 @@
 
 enum class ThrottleAction : uint8_t {
   kNone,
-  kThrottle,  // Slow the batch tasks of the VM down.
-  kEvict,     // Checkpoint and stop the most harmful one.
+  kThrottle,  // Slow down the VM's batch tasks.
+  kEvict,     // Checkpoint and stop the one that interferes most.
   kRelease,   // End the throttling.
 };
 
+// Follows the service's latency on one VM.
 class ThrottleController {
  public:
+  // Adds a reported latency and returns what to do next.
   ThrottleAction Observe(Duration latency, Duration target, TimePoint now);
   bool throttled() const { return throttled_; }
 
@@ -33,12 +34,12 @@
   void Smooth(Duration latency);
 
   double smoothed_ms_ = 0;
-  bool seen_ = false;
+  bool has_sample_ = false;
   bool throttled_ = false;
-  bool above_ = false;
-  TimePoint above_since_{};
-  TimePoint below_since_{};
-  TimePoint last_step_{};
+  bool is_high_ = false;
+  TimePoint high_since_{};
+  TimePoint low_since_{};
+  TimePoint last_action_{};
 };
 
 }  // namespace beamhill
--- a/beamhill/placement/worker_health.cc
+++ b/beamhill/placement/worker_health.cc
@@ -5,14 +5,15 @@
 namespace beamhill {
 namespace {
 
-constexpr uint32_t kFailuresToSuspect = 3;
-// Workers on which a job must have failed before it is the job's fault.
-constexpr size_t kWorkersToBlameJob = 3;
-constexpr Duration kFirstWait = std::chrono::seconds(10);
-constexpr Duration kMaxWait = std::chrono::minutes(10);
+constexpr uint32_t kMinFailuresToSuspect = 3;
+// Workers on which a job has to fail before the job is at fault.
+constexpr size_t kMinWorkersToBlameJob = 3;
+constexpr Duration kInitialBackoff = std::chrono::seconds(10);
+constexpr Duration kMaxBackoff = std::chrono::minutes(10);
 
-Duration NextWait(Duration wait) {
-  return wait == Duration(0) ? kFirstWait : std::min(wait * 2, kMaxWait);
+Duration NextBackoff(Duration backoff) {
+  return backoff == Duration(0) ? kInitialBackoff
+                                : std::min(backoff * 2, kMaxBackoff);
 }
 
 }  // namespace
@@ -21,13 +22,14 @@
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return false;
   return it->second.succeeded == 0 &&
-         it->second.failed_on.size() >= kWorkersToBlameJob;
+         it->second.failed_on.size() >= kMinWorkersToBlameJob;
 }
 
-// Suspect when the failures can't be the jobs' own: a failed job that has
-// succeeded on others, or failures of several jobs that have no success yet.
-bool WorkerHealth::IsSuspect(const Worker& worker) const {
-  if (worker.failures_in_a_row < kFailuresToSuspect) return false;
+// The worker is at fault if a job that failed on it has succeeded elsewhere, or
+// if several jobs failed on it that have neither succeeded nor failed
+// everywhere.
+bool WorkerHealth::ShouldQuarantine(const Worker& worker) const {
+  if (worker.consecutive_failures < kMinFailuresToSuspect) return false;
   size_t unexplained = 0;
   for (const std::string& name : worker.failed_jobs) {
     const auto it = jobs_.find(name);
@@ -45,28 +47,28 @@
   if (!failed) {
     ++record.succeeded;
     record.failed_on.clear();
-    record.wait = Duration(0);
+    record.backoff = Duration(0);
     worker = Worker{};
     return;
   }
   ++record.failed;
-  ++worker.failures_in_a_row;
+  ++worker.consecutive_failures;
   worker.failed_jobs.insert(job);
   if (worker.quarantined) {
-    worker.wait = NextWait(worker.wait);
-    worker.probe_at = now + worker.wait;
+    worker.backoff = NextBackoff(worker.backoff);
+    worker.probe_at = now + worker.backoff;
     return;
   }
   record.failed_on.insert(vm);
   if (FailsEverywhere(job)) {
-    record.wait = NextWait(record.wait);
-    record.try_at = now + record.wait;
+    record.backoff = NextBackoff(record.backoff);
+    record.next_try_at = now + record.backoff;
   }
-  if (!IsSuspect(worker)) return;
+  if (!ShouldQuarantine(worker)) return;
   worker.quarantined = true;
   worker.quarantined_at = now;
-  worker.wait = kFirstWait;
-  worker.probe_at = now + worker.wait;
+  worker.backoff = kInitialBackoff;
+  worker.probe_at = now + worker.backoff;
 }
 
 bool WorkerHealth::MayPlace(const std::string& vm, size_t running,
@@ -79,7 +81,7 @@
 bool WorkerHealth::MayStart(const std::string& job, size_t running,
                             TimePoint now) const {
   if (!FailsEverywhere(job)) return true;
-  return running == 0 && now >= jobs_.at(job).try_at;
+  return running == 0 && now >= jobs_.at(job).next_try_at;
 }
 
 bool WorkerHealth::IsQuarantined(const std::string& vm) const {
--- a/beamhill/placement/worker_health_test.cc
+++ b/beamhill/placement/worker_health_test.cc
@@ -9,7 +9,7 @@
 
 constexpr TimePoint kNow{std::chrono::hours(1)};
 
-TEST(WorkerHealth, AWorkerThatFailsWhatOthersDoIsLeftOut) {
+TEST(WorkerHealth, WorkerThatFailsWhatOthersCompleteIsQuarantined) {
   WorkerHealth health;
   health.OnEnded("good", "job", false, kNow);
   for (int i = 0; i < 3; ++i) health.OnEnded("bad", "job", true, kNow);
@@ -18,7 +18,7 @@
   EXPECT_TRUE(health.MayPlace("good", 5, kNow));
 }
 
-TEST(WorkerHealth, AJobThatFailsEverywhereBlamesNoWorker) {
+TEST(WorkerHealth, JobThatFailsEverywhereQuarantinesNoWorker) {
   WorkerHealth health;
   for (int i = 0; i < 20; ++i) {
     health.OnEnded("vm-" + std::to_string(i % 5), "bad", true, kNow);
@@ -30,7 +30,7 @@
   EXPECT_FALSE(health.MayStart("bad", 1, kNow + std::chrono::minutes(10)));
 }
 
-TEST(WorkerHealth, AWorkerIsBlamedBeforeAnyJobHasSucceeded) {
+TEST(WorkerHealth, WorkerIsQuarantinedBeforeAnyJobHasSucceeded) {
   WorkerHealth health;
   health.OnEnded("bad", "a", true, kNow);
   health.OnEnded("bad", "b", true, kNow);
@@ -39,7 +39,7 @@
   EXPECT_FALSE(health.FailsEverywhere("a"));
 }
 
-TEST(WorkerHealth, IsProbedWithOneTaskAndReadmitted) {
+TEST(WorkerHealth, QuarantinedWorkerIsProbedWithOneTaskAndReadmitted) {
   WorkerHealth health;
   health.OnEnded("good", "job", false, kNow);
   for (int i = 0; i < 3; ++i) health.OnEnded("bad", "job", true, kNow);
