--- a/beamhill/dispatch/dispatch_crashes_test.cc
+++ b/beamhill/dispatch/dispatch_crashes_test.cc
@@ -115,9 +115,9 @@
 
 // A long-running task does not end, so the length of its run has to clear it.
 TEST_F(DispatcherCrashesTest, RunOfLongDurationClearsItsTask) {
-  Workflow long_running = SingleStepWorkflow("a", 1, 2);
-  long_running.steps[0].long_running = true;
-  dispatcher_->AddWorkflow(long_running, std::nullopt, now_);
+  Workflow workflow = SingleStepWorkflow("a", 1, 2);
+  workflow.steps[0].long_running = true;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   ASSERT_TRUE(CrashRunners("a", 3));
   const auto third = NextStart("a");
   ASSERT_TRUE(third);
--- a/beamhill/dispatch/dispatch_halls_test.cc
+++ b/beamhill/dispatch/dispatch_halls_test.cc
@@ -50,11 +50,11 @@
 
 TEST_F(DispatcherHallsTest, NoBestEffortTaskRetryOrIdleWorkflowIsStartedThere) {
   ConnectOneVmPerHall();
-  Workflow best_effort = SingleStepWorkflow("f", 30, 2);
-  best_effort.steps[0].best_effort = true;
-  best_effort.steps[0].image = "f";
-  best_effort.policy.max_attempts = 100;
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = SingleStepWorkflow("f", 30, 2);
+  workflow.steps[0].best_effort = true;
+  workflow.steps[0].image = "f";
+  workflow.policy.max_attempts = 100;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   auto running = Tick().starts;
   ASSERT_THAT(running, testing::Not(IsEmpty()));
   Evacuate({"north", "south"});
--- a/beamhill/dispatch/dispatch_interference_test.cc
+++ b/beamhill/dispatch/dispatch_interference_test.cc
@@ -58,11 +58,11 @@
   }
 
   static Workflow BestEffortWorkflow() {
-    Workflow best_effort = SingleStepWorkflow("f", 1, 2);
-    best_effort.steps[0].best_effort = true;
-    best_effort.steps[0].saves_progress = true;
-    best_effort.steps[0].image = "f";
-    return best_effort;
+    Workflow workflow = SingleStepWorkflow("f", 1, 2);
+    workflow.steps[0].best_effort = true;
+    workflow.steps[0].saves_progress = true;
+    workflow.steps[0].image = "f";
+    return workflow;
   }
 };
 
@@ -96,10 +96,10 @@
 TEST_F(DispatcherInterferenceTest,
        VmWithInterferenceTakesOnlyTheSingleRunOfAStarvedWorkflow) {
   const std::string other = DisconnectInsensitiveVm();
-  Workflow best_effort = BestEffortWorkflow();
-  best_effort.steps[0].tasks = 3;
-  best_effort.steps[0].each.cpu_millis = 1800;  // Two would fit.
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = BestEffortWorkflow();
+  workflow.steps[0].tasks = 3;
+  workflow.steps[0].each.cpu_millis = 1800;  // Two would fit.
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   EXPECT_THAT(Tick().starts, SizeIs(0));
   // Its objective is two seconds.
   AdvanceTime(std::chrono::seconds(4), {other});
@@ -115,12 +115,12 @@
        WorkflowWithoutRunsIsNotBlockedByAnotherOfItsImage) {
   const std::string other = DisconnectInsensitiveVm();
   for (const char* id : {"small", "large"}) {
-    Workflow best_effort = BestEffortWorkflow();
-    best_effort.id = id;
-    best_effort.policy.stretch = 100;  // Not late, so "small" comes first.
-    best_effort.steps[0].tasks = id == std::string("small") ? 3 : 5;
-    best_effort.steps[0].each.cpu_millis = 1750;
-    dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+    Workflow workflow = BestEffortWorkflow();
+    workflow.id = id;
+    workflow.policy.stretch = 100;  // Not late, so "small" comes first.
+    workflow.steps[0].tasks = id == std::string("small") ? 3 : 5;
+    workflow.steps[0].each.cpu_millis = 1750;
+    dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
     AdvanceTime(std::chrono::seconds(3), {other});
     const auto starts = TakeSent().starts;
     ASSERT_THAT(starts, SizeIs(1));
@@ -192,9 +192,9 @@
 // nothing.
 TEST_F(DispatcherInterferenceTest, TaskThatMayNotStartAgainIsNotMoved) {
   TakeOwnership({"vm-1", "vm-2", "silent"});
-  Workflow best_effort = BestEffortWorkflow();
-  best_effort.offered_to_epoch = 1;
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = BestEffortWorkflow();
+  workflow.offered_to_epoch = 1;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   ASSERT_TRUE(CommitProgress());
   ConnectVm("vm-1", {SingleStepRun("f", 0, 1)});
   ConnectVm("vm-2");
@@ -220,9 +220,9 @@
   const std::string insensitive_vm = ServeInsensitiveAndSensitive();
   const std::string other = insensitive_vm == "vm-1" ? "vm-2" : "vm-1";
   dispatcher_->OnLinkDown(insensitive_vm);
-  Workflow best_effort = BestEffortWorkflow();
-  best_effort.steps[0].saves_progress = false;
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = BestEffortWorkflow();
+  workflow.steps[0].saves_progress = false;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   ASSERT_THAT(Tick().starts, SizeIs(1));
   ConnectVm(insensitive_vm, {{{"insensitive", 0, 0, 0}, 1001}});
   LearnInterference(insensitive_vm);
@@ -292,9 +292,9 @@
     dispatcher_->OnPressure(
         other, {2, {{"lone_sensitive", raised_tail}}, {{"f", cpu, 100}}});
   }
-  Workflow best_effort = BestEffortWorkflow();
-  best_effort.steps[0].tasks = 20;
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = BestEffortWorkflow();
+  workflow.steps[0].tasks = 20;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   AdvanceTime(std::chrono::seconds(5), {"vm-1", "vm-2"});
   const auto stops = TakeSent().stops;
   ASSERT_THAT(stops, SizeIs(1));
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -82,9 +82,9 @@
   serving.steps[0].long_running = true;
   dispatcher_->AddWorkflow(serving, std::nullopt, now_);
   ASSERT_THAT(Tick().starts, SizeIs(1));
-  Workflow best_effort = SingleStepWorkflow("f", 1, 2);
-  best_effort.steps[0].best_effort = true;
-  dispatcher_->AddWorkflow(best_effort, std::nullopt, now_);
+  Workflow workflow = SingleStepWorkflow("f", 1, 2);
+  workflow.steps[0].best_effort = true;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   EXPECT_THAT(Tick().starts, SizeIs(1));
   Workflow large = SingleStepWorkflow("g", 1, 2);
   large.steps[0].best_effort = true;
@@ -187,10 +187,10 @@
   }
 
   static Workflow BestEffortWorkflow(uint32_t tasks) {
-    Workflow best_effort = SingleStepWorkflow("f", tasks, 2);
-    best_effort.steps[0].best_effort = true;
-    best_effort.steps[0].image = "f";
-    return best_effort;
+    Workflow workflow = SingleStepWorkflow("f", tasks, 2);
+    workflow.steps[0].best_effort = true;
+    workflow.steps[0].image = "f";
+    return workflow;
   }
 
   static constexpr double kLateRank = 1e9;
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -317,9 +317,9 @@
 TEST_F(DispatcherTest, DrainingVmGetsNoStartsAndItsLongRunningTasksAreStopped) {
   TakeOwnership({});
   ConnectVm("vm-1");
-  Workflow long_running = SingleStepWorkflow("a", 1, 2);
-  long_running.steps[0].long_running = true;
-  dispatcher_->AddWorkflow(long_running, std::nullopt, now_);
+  Workflow workflow = SingleStepWorkflow("a", 1, 2);
+  workflow.steps[0].long_running = true;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   const RunRef run = Tick().starts[0].second;
   VmStatus draining = StatusOf("vm-1");
   draining.draining = true;
@@ -353,9 +353,9 @@
 
 TEST_F(DispatcherTest, VmThatIsDrainingWhenItConnectsIsEvacuated) {
   TakeOwnership({"vm-1"});
-  Workflow long_running = SingleStepWorkflow("a", 1, 1);
-  long_running.steps[0].long_running = true;
-  dispatcher_->AddWorkflow(long_running, std::nullopt, now_);
+  Workflow workflow = SingleStepWorkflow("a", 1, 1);
+  workflow.steps[0].long_running = true;
+  dispatcher_->AddWorkflow(workflow, std::nullopt, now_);
   dispatcher_->OnLinkUp("vm-1");
   VmStatus draining = StatusOf("vm-1");
   draining.draining = true;
