--- a/beamhill/dispatch/dispatch_crashes_test.cc
+++ b/beamhill/dispatch/dispatch_crashes_test.cc
@@ -92,8 +92,8 @@
 TEST_F(DispatcherCrashesTest, SuspectWaitsUntilNothingElseHasJustStarted) {
   Add("a");
   ASSERT_TRUE(CrashRunners("a", 1));
-  Workflow first = SingleStepWorkflow(
-      "b", 15, 2);  // Leaves room for one more task on one VM.
+  // Leaves room for one more task on one VM.
+  Workflow first = SingleStepWorkflow("b", 15, 2);
   first.policy.priority = -1;
   dispatcher_->AddWorkflow(first, std::nullopt, now_);
   const TimePoint b_started = now_ + milliseconds(250);
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -205,8 +205,8 @@
   dispatcher_->AddWorkflow(BestEffortWorkflow(1), std::nullopt, now_);
   const auto starts = Tick().starts;
   ASSERT_THAT(starts, SizeIs(1));
-  now_ += std::chrono::milliseconds(
-      1500);  // The objective is 2 s without failures.
+  // The objective is 2 s without failures.
+  now_ += std::chrono::milliseconds(1500);
   dispatcher_->OnHeartbeat("vm-1", {2, now_}, now_);
   ReceiveEnd("vm-1", 1, starts[0].second, RunEndKind::kFailed);
   AdvanceTime(std::chrono::seconds(1), {"vm-1"});
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -29,8 +29,7 @@
   dispatcher_->TakeMessages();
   dispatcher_->OnVmSilent("vm-1");
   dispatcher_->OnVmSilent("vm-1");
-  EXPECT_THAT(dispatcher_->TakeMessages(),
-              SizeIs(1));  // One Attach, though it was silent twice.
+  EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(1));  // One Attach.
   dispatcher_->AddWorkflow(SingleStepWorkflow("a", 1, 2), std::nullopt, now_);
   dispatcher_->OnHeartbeat("vm-1", {2, now_}, now_);
   EXPECT_THAT(Tick().starts, IsEmpty());
--- a/beamhill/placement/interference_model.h
+++ b/beamhill/placement/interference_model.h
@@ -32,8 +32,9 @@
 struct InterferencePriors {
   double shared = 0.05;    // Of the shared weight.
   double per_class = 0.5;  // Of each class's deviation.
-  // Observations between two automatic refits: fewer learn sooner and cost
-  // more. Callers that observe often set it high and call Refit themselves.
+  // Observations between two automatic refits, after as many that refit the
+  // model each: fewer learn sooner and cost more. Callers that observe often
+  // set it high and call Refit themselves.
   size_t refit_interval = 16;
 };
 
