--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -258,7 +258,8 @@
 }
 
 // An executor that restarts after it received a stop and before it called the
-// runner loses the stop, and the run would go on although nobody wants it.
+// runner loses the stop, and the run would go on although nobody wants it. The
+// site tsagaan-tal-grown showed this at scale 2.
 TEST_F(DispatcherTest, StopLostByAnExecutorIsRepeatedAfterItsInventory) {
   TakeOwnership({});
   ConnectVm("vm-1");
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -22,7 +22,8 @@
 
 namespace beamhill {
 
-// Milliseconds since the Unix epoch on the wall clock; the unit of due times.
+// Milliseconds since the Unix epoch (1970) on the wall clock; used for due
+// times.
 using UnixMillis = std::chrono::milliseconds;
 
 // A step: `tasks` tasks that run the same image and request the same resources.
