--- a/beamhill/agent/agent_core.h
+++ b/beamhill/agent/agent_core.h
@@ -21,7 +21,7 @@
 
 #include "beamhill/base/time.h"
 #include "beamhill/messages/messages.h"
-#include "beamhill/placement/yield_ladder.h"
+#include "beamhill/placement/throttle_controller.h"
 #include "beamhill/work/work.h"
 
 namespace beamhill {
@@ -199,7 +199,7 @@
   TimePoint first_tick_{};
   bool lapse_handled_ = false;
 
-  YieldLadder ladder_;
+  ThrottleController ladder_;
   TimePoint last_throttle_{};
   bool listed_ = false;  // The worker's list has been seen.
   bool inventory_wanted_ = false;
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -63,10 +63,10 @@
 
 Duration Dispatcher::AllowedFor(const Job& job, uint32_t round) const {
   const Workflow& workflow = job.progress.workflow();
-  const Duration chain = LongestChain(workflow, [&](size_t number) {
+  const Duration chain = CriticalPath(workflow, [&](size_t number) {
     const WorkflowStep& step = workflow.steps[number];
     const auto failures = static_cast<int64_t>(
-        job.progress.MostFailures(round, static_cast<uint32_t>(number)));
+        job.progress.MaxFailures(round, static_cast<uint32_t>(number)));
     return job.progress.ExpectedRun(static_cast<uint32_t>(number)) *
            (WavesOf(job, step) + failures);
   });
@@ -86,7 +86,7 @@
 Lateness Dispatcher::LatenessOf(const Job& job, uint32_t round, TimePoint now,
                                 UnixMillis unix_now) {
   const TimePoint due = DueOf(job, round, now, unix_now);
-  const TimePoint end = now + job.progress.RemainingChain(round, now);
+  const TimePoint end = now + job.progress.RemainingCriticalPath(round, now);
   if (end > due + (kLateFactor - 1) * job.allowed) return Lateness::kTooLate;
   return end > due ? Lateness::kLate : Lateness::kInTime;
 }
@@ -94,14 +94,14 @@
 double Dispatcher::OrderOf(const Job& job, uint32_t round, TimePoint now,
                            UnixMillis unix_now) {
   return YieldOrder(LatenessOf(job, round, now, unix_now),
-                    job.progress.RemainingWork(round),
+                    job.progress.RemainingCoreSeconds(round),
                     DueOf(job, round, now, unix_now));
 }
 
 void Dispatcher::SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t round = 0; round < workflow.rounds(); ++round) {
-    if (job.progress.RemainingWork(round) <= 0) continue;
+    if (job.progress.RemainingCoreSeconds(round) <= 0) continue;
     job.allowed = AllowedFor(job, round);
     job.yield_order = OrderOf(job, round, now, unix_now);
     return;
@@ -109,7 +109,7 @@
 }
 
 TaskTraits Dispatcher::TraitsOf(const Job& job, const WorkflowStep& step) {
-  return {step.image, step.fills, step.tail_target, step.each.cpu_millis,
+  return {step.image, step.best_effort, step.tail_target, step.each.cpu_millis,
           job.yield_order};
 }
 
@@ -248,7 +248,7 @@
                       const WorkflowStep& step, TimePoint now) const {
   // What most VMs fail at comes first, and what is dear to ask comes last.
   Resources need = step.each;
-  if (step.fills) need.cpu_millis = 0;
+  if (step.best_effort) need.cpu_millis = 0;
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
   if (!vm.linked || !vm.answered || !vm.leased || status.draining ||
@@ -266,7 +266,7 @@
                 step.required_label) == status.labels.end()) {
     return false;
   }
-  if (step.fills && !HasRoomToFill(vm, job, step)) return false;
+  if (step.best_effort && !HasRoomToFill(vm, job, step)) return false;
   return LeavesKeptRoom(name, vm, step) &&
          IsHealthyFor(name, vm, job, step, now);
 }
@@ -295,7 +295,7 @@
   const auto serving = static_cast<double>(vm.serving_cpu);
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
-  if (step.fills) {
+  if (step.best_effort) {
     const double busy =
         (used - serving + dispatch_internal::kServingUse * serving + filling) /
         whole;
@@ -320,8 +320,8 @@
   return std::any_of(no_room_.begin(), no_room_.end(), [&](const auto& entry) {
     const WorkflowStep& earlier = entry.second;
     // A filler may have been kept away for what its own image disturbs.
-    const bool alike = earlier.fills == step.fills &&
-                       (!step.fills || earlier.image == step.image);
+    const bool alike = earlier.best_effort == step.best_effort &&
+                       (!step.best_effort || earlier.image == step.image);
     return entry.first == service && alike && step.each.Holds(earlier.each);
   });
 }
@@ -355,7 +355,7 @@
     if (rack && vm.status.rack != *rack) continue;
     if (!MayHost(vm, vm_name, job, step, open, now)) continue;
     double cost = Cost(vm, step);
-    if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
+    if (!step.preferred_rack.empty() && vm.status.rack != step.preferred_rack) {
       cost += kOtherRack;
     }
     if (vm_name == avoid) cost += kAvoided;
@@ -382,7 +382,7 @@
       step.saves_progress ? job.progress.At(ref).checkpoint : "";
   job.progress.OnStarted(ref, run, name, now);
   // Its time there tells nothing of the others'.
-  if (vm.cold) job.progress.At(ref).whole = false;
+  if (vm.cold) job.progress.At(ref).measurable = false;
   ++counts_.starts;
   StartRuns& starts =
       starts_[{name, TaskRef{ref.workflow, ref.round, ref.step, 0}}];
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -66,7 +66,8 @@
   for (const auto& summary : interference_.Summaries()) {
     PressureRecord::Image image{summary.serving, summary.alone, {}};
     for (const auto& weight : summary.weights) {
-      image.weights.push_back({weight.serving, weight.filler, weight.per_vm});
+      image.weights.push_back(
+          {weight.serving, weight.best_effort, weight.per_vm});
     }
     record.images.push_back(std::move(image));
   }
@@ -80,7 +81,7 @@
       summary.weights.push_back(
           {weight.serving, weight.filling, weight.per_vm});
     }
-    interference_.Recall(summary);
+    interference_.Restore(summary);
   }
   RefitPressure();
 }
@@ -99,7 +100,7 @@
     if (!MayStart(*job)) continue;
     for (const auto& open : job->progress.OpenSteps(unix_now)) {
       const WorkflowStep& step = job->progress.workflow().steps[open.step];
-      if (!step.fills) continue;
+      if (!step.best_effort) continue;
       const auto& tasks = job->progress.TasksOf(open.round, open.step);
       const auto waiting =
           std::count_if(tasks.begin(), tasks.end(), [](const auto& task) {
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -57,7 +57,7 @@
   held.amount = step.each;
   held.image = step.image;
   held.tail_target = step.tail_target;
-  if (step.fills) {
+  if (step.best_effort) {
     std::swap(held.filling_cpu, held.amount.cpu_millis);
     const bool added = vm.filling.count(step.image) == 0;
     vm.new_image = vm.new_image || added;
@@ -169,7 +169,7 @@
         run.run >= task.run) {
       job->progress.OnStarted(run.task, run.run, name, now);
       job->progress.OnBegun();
-      job->progress.At(run.task).whole = false;  // It began before.
+      job->progress.At(run.task).measurable = false;  // It began before.
       ++counts_.adopted;
       run_log_.Note("run_adopted", run, name, "");
       return;
@@ -283,7 +283,7 @@
   if (!failed || news) health_.OnEnded(name, ref.workflow, failed, now);
   if (!failed) return;
   // It came to an end of its own, on a runner that lives.
-  if (job.progress.OnOutlived(ref, end.run.run)) MarkDirty(job);
+  if (job.progress.OnStartSurvived(ref, end.run.run)) MarkDirty(job);
   task.avoid_vm = name;
   if (!job.progress.workflow().steps[ref.step].long_running) {
     task.not_before = now + kRetryPause;
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -20,7 +20,7 @@
     shape += std::to_string(step.tasks) + "x" +
              std::to_string(step.each.cpu_millis) + "m";
     if (step.gang) shape += step.same_rack ? "+rackgang" : "+gang";
-    if (step.fills) shape += "+fills";
+    if (step.best_effort) shape += "+fills";
     if (step.long_running) shape += "+lasting";
     if (!step.required_label.empty()) shape += "+" + step.required_label;
     if (step.max_per_vm > 0) {
@@ -87,8 +87,8 @@
   if (Knows(workflow.id)) return;
   auto job = std::make_unique<Job>(workflow);
   const uint64_t last_opener =
-      record ? std::max(record->opened_by, workflow.offered_to)
-             : workflow.offered_to;
+      record ? std::max(record->opened_by_epoch, workflow.offered_to_epoch)
+             : workflow.offered_to_epoch;
   job->opened = last_opener == options_.epoch;
   job->inherited = !job->opened && last_opener != 0;
   job->added_at = now;
@@ -108,7 +108,7 @@
   jobs_.emplace(workflow.id, std::move(job));
   if (!added.progress.over() && !added.opened) MarkDirty(added);
   // Before it is late; brought up to date from then on.
-  added.yield_order = added.progress.RemainingWork(0);
+  added.yield_order = added.progress.RemainingCoreSeconds(0);
   Decide(workflow.id, "workflow_added",
          std::string(added.inherited ? "inherited" : "new here") + ", " +
              ShapeOf(workflow));
--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -9,8 +9,8 @@
 
 #include "beamhill/placement/interference_model.h"
 #include "beamhill/placement/placement_policy.h"
+#include "beamhill/placement/throttle_controller.h"
 #include "beamhill/placement/worker_health.h"
-#include "beamhill/placement/yield_ladder.h"
 
 namespace beamhill {
 namespace {
@@ -53,7 +53,7 @@
 struct Vm {
   std::string name;
   std::vector<Task> tasks;
-  YieldLadder ladder;
+  ThrottleController ladder;
   double load = 1;  // Of its service, over the usual.
   double pressure = 1;
   // Reports on their way: the loads of the time and the latency.
@@ -276,7 +276,8 @@
       }
       model_.Observe(loads, latency);
     }
-    if (vm.ladder.Observe(latency, shape_.target, now_) == YieldStep::kEvict) {
+    if (vm.ladder.Observe(latency, shape_.target, now_) ==
+        ThrottleAction::kEvict) {
       EvictOne(vm);
     }
   }
