--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -8,23 +8,23 @@
 namespace {
 
 // Runners that one question names: the advisor takes time for each.
-constexpr size_t kAskedAtOnce = 30;
+constexpr size_t kRunnersPerRequest = 30;
 // After a question without an answer, or one that let nobody run the step.
-constexpr Duration kAskAgain = std::chrono::milliseconds(400);
+constexpr Duration kAdviceRetryDelay = std::chrono::milliseconds(400);
 // A ticket is used only while so much of its time is left; an order takes a
 // few milliseconds to its runner.
-constexpr Duration kLeastTicket = std::chrono::milliseconds(150);
+constexpr Duration kMinTicketTime = std::chrono::milliseconds(150);
 
 }  // namespace
 
 const Dispatcher::Ticket* Dispatcher::TicketFor(
     const Job& job, const WorkflowProgress::OpenStep& open,
-    const std::string& life, TimePoint now) {
+    const std::string& incarnation, TimePoint now) {
   const auto advice = job.advice.find({open.round, open.step});
   if (advice == job.advice.end()) return nullptr;
-  const auto it = advice->second.tickets.find(life);
+  const auto it = advice->second.tickets.find(incarnation);
   if (it == advice->second.tickets.end()) return nullptr;
-  return it->second.until - now >= kLeastTicket ? &it->second : nullptr;
+  return it->second.expires_at - now >= kMinTicketTime ? &it->second : nullptr;
 }
 
 // Whether the step's tasks may be placed now. Where tickets are needed and no
@@ -34,16 +34,18 @@
   const Workflow& workflow = job.progress.workflow();
   if (!workflow.policy.needs_advice) return true;
   StepAdvice& advice = job.advice[{open.round, open.step}];
-  std::vector<std::string> without;
+  std::vector<std::string> without_ticket;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
     if (TicketFor(job, open, vm.status.life, now) != nullptr) return true;
-    if (without.size() < kAskedAtOnce) without.push_back(vm.status.life);
+    if (without_ticket.size() < kRunnersPerRequest)
+      without_ticket.push_back(vm.status.life);
   }
-  if (!advice.asked && now >= advice.ask_after && !without.empty()) {
-    advice.asked = true;
+  if (!advice.request_pending && now >= advice.next_request_at &&
+      !without_ticket.empty()) {
+    advice.request_pending = true;
     advice_requests_.push_back(
-        {{workflow.id, open.round, open.step, 0}, std::move(without)});
+        {{workflow.id, open.round, open.step, 0}, std::move(without_ticket)});
   }
   return false;
 }
@@ -56,17 +58,18 @@
                           const std::optional<Advice>& advice, TimePoint now) {
   Job* job = Find(step.workflow);
   if (job == nullptr) return;
-  StepAdvice& known = job->advice[{step.round, step.step}];
-  known.asked = false;
-  if (!advice || advice->tickets.empty()) known.ask_after = now + kAskAgain;
-  Decide(step.workflow, "advice",
-         step.ToString() + ": " +
-             (advice ? std::to_string(advice->tickets.size()) + " runners"
-                     : "none came"));
+  StepAdvice& step_advice = job->advice[{step.round, step.step}];
+  step_advice.request_pending = false;
+  if (!advice || advice->tickets.empty())
+    step_advice.next_request_at = now + kAdviceRetryDelay;
+  LogDecision(step.workflow, "advice",
+              step.ToString() + ": " +
+                  (advice ? std::to_string(advice->tickets.size()) + " runners"
+                          : "none came"));
   if (!advice) return;
-  const Duration life_of_ticket = job->progress.workflow().policy.ticket_life;
-  for (const auto& [life, text] : advice->tickets) {
-    known.tickets[life] = {text, now + life_of_ticket};
+  const Duration ticket_lifetime = job->progress.workflow().policy.ticket_life;
+  for (const auto& [incarnation, text] : advice->tickets) {
+    step_advice.tickets[incarnation] = {text, now + ticket_lifetime};
   }
 }
 
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -11,33 +11,35 @@
 // and what was learned of pressure take one each. A workflow's progress comes
 // with the removal of its marker; one that is forgotten has three rows.
 constexpr size_t kMaxEntries = 94;
-constexpr size_t kEntriesOfProgress = 2;
-constexpr size_t kEntriesOfForgotten = 3;
-constexpr size_t kMaxCommit = kMaxEntries / kEntriesOfProgress;
+constexpr size_t kEntriesPerProgress = 2;
+constexpr size_t kEntriesPerForgotten = 3;
+constexpr size_t kMaxProgressPerCommit = kMaxEntries / kEntriesPerProgress;
 
 }  // namespace
 
-void Dispatcher::Settle(const EndsByVm& ends) {
+void Dispatcher::AcknowledgeEnds(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.life != end.first || vm.settled >= end.second) continue;
+    if (vm.status.life != end.first || vm.acknowledged_end >= end.second)
+      continue;
     // Stays unsettled until the VM can be told.
-    if (!vm.linked || !vm.answered) continue;
-    vm.settled = end.second;
+    if (!vm.linked || !vm.has_inventory) continue;
+    vm.acknowledged_end = end.second;
     Send(name, EndsSettled{options_.epoch, end.first, end.second});
   }
 }
 
-Dispatcher::EndsByVm Dispatcher::UnsettledEnds() const {
+Dispatcher::EndsByVm Dispatcher::UnacknowledgedEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.processed > vm.settled) ends[name] = {vm.status.life, vm.processed};
+    if (vm.applied_end > vm.acknowledged_end)
+      ends[name] = {vm.status.life, vm.applied_end};
   }
   return ends;
 }
 
 void Dispatcher::AddProgress(DispatchCommit& commit) {
-  while (!dirty_.empty() && commit.progress.size() < kMaxCommit) {
+  while (!dirty_.empty() && commit.progress.size() < kMaxProgressPerCommit) {
     const std::string id = *dirty_.begin();
     dirty_.erase(dirty_.begin());
     Job* job = Find(id);
@@ -50,8 +52,8 @@
 
 void Dispatcher::AddForgotten(DispatchCommit& commit, TimePoint now) const {
   for (const auto& [id, job] : jobs_) {
-    const size_t entries = kEntriesOfProgress * commit.progress.size() +
-                           kEntriesOfForgotten * (commit.forgotten.size() + 1);
+    const size_t entries = kEntriesPerProgress * commit.progress.size() +
+                           kEntriesPerForgotten * (commit.forgotten.size() + 1);
     if (entries > kMaxEntries) return;
     const bool stored =
         !job->dirty && job->stored_state == job->progress.state();
@@ -63,23 +65,23 @@
 }
 
 std::optional<DispatchCommit> Dispatcher::TakeCommit(TimePoint now) {
-  if (commit_out_) return std::nullopt;
-  EndsByVm ends = UnsettledEnds();
+  if (commit_in_flight_) return std::nullopt;
+  EndsByVm ends = UnacknowledgedEnds();
   // Nothing that these ends changed waits to be stored.
-  if (dirty_.empty()) Settle(ends);
+  if (dirty_.empty()) AcknowledgeEnds(ends);
   DispatchCommit commit;
-  const bool all = dirty_.size() <= kMaxCommit;
+  const bool all = dirty_.size() <= kMaxProgressPerCommit;
   AddProgress(commit);
   AddForgotten(commit, now);
   if (commit.progress.empty() && commit.forgotten.empty()) return std::nullopt;
-  if (all) settling_ = std::move(ends);
+  if (all) acknowledging_ = std::move(ends);
   forgetting_ = commit.forgotten;
-  commit_out_ = true;
+  commit_in_flight_ = true;
   return commit;
 }
 
 void Dispatcher::OnCommitted() {
-  commit_out_ = false;
+  commit_in_flight_ = false;
   for (const std::string& id : std::exchange(in_commit_, {})) {
     Job* job = Find(id);
     if (job == nullptr) continue;
@@ -88,16 +90,16 @@
     if (!job->dirty) job->stored_state = job->progress.state();
   }
   for (const std::string& id : std::exchange(forgetting_, {})) jobs_.erase(id);
-  Settle(std::exchange(settling_, {}));
+  AcknowledgeEnds(std::exchange(acknowledging_, {}));
 }
 
 void Dispatcher::OnCommitFailed() {
-  commit_out_ = false;
+  commit_in_flight_ = false;
   for (const std::string& id : std::exchange(in_commit_, {})) {
     if (Job* job = Find(id); job != nullptr) MarkDirty(*job);
   }
   forgetting_.clear();
-  settling_.clear();
+  acknowledging_.clear();
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -19,81 +19,81 @@
 // windows counted here and at the executor agree.
 constexpr Duration kTrialMargin = std::chrono::milliseconds(200);
 // An executor sends heartbeats for so long after its runner's last answer.
-constexpr Duration kHeartbeatsOutlive = std::chrono::milliseconds(1500);
+constexpr Duration kHeartbeatLag = std::chrono::milliseconds(1500);
 // At most this part of the VMs is on trial at once, as a divisor: they start
 // nothing else meanwhile.
 constexpr size_t kTrialVmsDivisor = 4;
 // A task that was there when one runner was lost, as some ten are each time, is
 // started like any other when no trial was free for so long. Users count a
 // lasting task as lost after 6 s.
-constexpr Duration kTrialPatience = std::chrono::milliseconds(2000);
+constexpr Duration kTrialWait = std::chrono::milliseconds(2000);
 // A run that has lasted for so long has not taken its runner down as it began:
 // the loss would be known by now, as the lease would be over.
-constexpr Duration kOutlived = std::chrono::seconds(10);
+constexpr Duration kProvenAfter = std::chrono::seconds(10);
 // One that was there more often waits so long for a VM that has not lost its
 // runner of late.
-constexpr Duration kStablePatience = std::chrono::milliseconds(3000);
+constexpr Duration kStableVmWait = std::chrono::milliseconds(3000);
 constexpr Duration kClearInterval = std::chrono::milliseconds(500);
 // A runner that was lost within this time may be lost again for its own
 // reasons, and is the last choice for a trial.
-constexpr Duration kUnstableFor = std::chrono::seconds(10);
+constexpr Duration kUnstableTime = std::chrono::seconds(10);
 // Costs of a trial, in cores at work that would be lost with the runner.
 constexpr double kUnstableCost = 10000;
-constexpr double kFarFromDataCost = 100;
-constexpr double kAvoidedCost = 1000;  // Where it failed or starved last.
+constexpr double kOtherRackTrialCost = 100;
+constexpr double kAvoidedVmTrialCost = 1000;
 
 // Since when a task under suspicion waits. Its owner need not have seen the run
 // that is suspected: then it waits since the workflow came here.
-TimePoint AwaySince(const dispatch_internal::Job& job,
-                    const WorkflowProgress::Task& task) {
+TimePoint SuspectWaitingSince(const dispatch_internal::Job& job,
+                              const WorkflowProgress::Task& task) {
   return task.away_since.value_or(job.added_at);
 }
 
 // Whether its runner was lost of late: it may be again, for reasons of its
 // own.
 bool IsUnstable(const Vm& vm, TimePoint now) {
-  return vm.lost_at && now - *vm.lost_at < kUnstableFor;
+  return vm.runner_lost_at && now - *vm.runner_lost_at < kUnstableTime;
 }
 
 // What a trial there might cost; lower is better.
 double TrialCost(const Vm& vm, const WorkflowStep& step, TimePoint now) {
-  double cost =
-      static_cast<double>(vm.used.cpu_millis + vm.filling_cpu) / kMillisOfCore;
+  double cost = static_cast<double>(vm.used.cpu_millis + vm.best_effort_cpu) /
+                kMillisOfCore;
   if (IsUnstable(vm, now)) cost += kUnstableCost;
   if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
-    cost += kFarFromDataCost;
+    cost += kOtherRackTrialCost;
   }
   return cost;
 }
 
 }  // namespace
 
-void Dispatcher::NoteLostRunner(const std::string& name, Vm& vm,
-                                const PastLife& lost, TimePoint now) {
-  if (vm.lost_life != lost.life) {
-    vm.lost_life = lost.life;
-    vm.lost_at = now;
+void Dispatcher::RecordLostRunner(const std::string& name, Vm& vm,
+                                  const PastLife& lost, TimePoint now) {
+  if (vm.lost_incarnation != lost.life) {
+    vm.lost_incarnation = lost.life;
+    vm.runner_lost_at = now;
   }
   for (const RunRef& run : lost.others) {
     Job* job = Find(run.task.workflow);
     if (job == nullptr || !job->progress.Has(run.task)) continue;
     if (job->progress.OnOutlived(run.task, run.run)) MarkDirty(*job);
   }
-  for (const RunRef& run : lost.just_begun) Suspect(name, run, now);
+  for (const RunRef& run : lost.just_begun) MarkSuspect(name, run, now);
 }
 
-void Dispatcher::SuspectUnansweredFor(const std::string& name, const Vm& vm,
-                                      TimePoint now) {
-  const TimePoint since = vm.stamped_at - kHeartbeatsOutlive - kCrashWindow;
+void Dispatcher::SuspectSilentRunner(const std::string& name, const Vm& vm,
+                                     TimePoint now) {
+  const TimePoint since = vm.stamped_at - kHeartbeatLag - kCrashWindow;
   std::vector<RunRef> runs;
   for (const auto& [run, held] : vm.held) {
     if (held.since >= since) runs.push_back(run);
   }
-  for (const RunRef& run : runs) Suspect(name, run, now);
+  for (const RunRef& run : runs) MarkSuspect(name, run, now);
 }
 
-void Dispatcher::Suspect(const std::string& name, const RunRef& run,
-                         TimePoint now) {
+void Dispatcher::MarkSuspect(const std::string& name, const RunRef& run,
+                             TimePoint now) {
   Job* job = Find(run.task.workflow);
   if (job == nullptr || !job->progress.Has(run.task)) return;
   if (!job->progress.OnRunnerCrash(run.task, run.run)) return;
@@ -102,8 +102,8 @@
   run_log_.Note("run_suspected", run, name, "began on a runner that was lost");
   if (!job->progress.over()) return;
   ++counts_.given_up;
-  Decide(run.task.workflow, "workflow_over",
-         "failed: " + run.task.ToString() + " takes its runners down");
+  LogDecision(run.task.workflow, "workflow_over",
+              "failed: " + run.task.ToString() + " takes its runners down");
   OnOver(*job, now);
 }
 
@@ -120,7 +120,7 @@
     const WorkflowProgress::Task& task = job->progress.At(*it);
     const bool held = task.phase == WorkflowProgress::Phase::kHeld;
     // A VM that is silent may have lost its runner.
-    if (held && now - task.held_since >= kOutlived &&
+    if (held && now - task.held_since >= kProvenAfter &&
         vms_[task.vm].lease_bound > now) {
       if (job->progress.OnOutlived(*it, task.run)) MarkDirty(*job);
     }
@@ -145,7 +145,7 @@
       vms_.begin(), vms_.end(),
       [&](const auto& entry) { return IsOnTrial(entry.second, now); }));
   if (trials > vms_.size() / kTrialVmsDivisor) return;
-  const bool waits = now - AwaySince(job, task) < kStablePatience;
+  const bool waits = now - SuspectWaitingSince(job, task) < kStableVmWait;
   const bool only_stable = waits && task.crashed_runs.size() > 1;
   Vm* best = nullptr;
   double least = 0;
@@ -153,8 +153,8 @@
     if (IsOnTrial(vm, now)) continue;
     if (only_stable && IsUnstable(vm, now)) continue;
     if (!MayHost(vm, name, job, step, open, now)) continue;
-    const double cost =
-        TrialCost(vm, step, now) + (name == task.avoid_vm ? kAvoidedCost : 0);
+    const double cost = TrialCost(vm, step, now) +
+                        (name == task.avoid_vm ? kAvoidedVmTrialCost : 0);
     if (best != nullptr && cost >= least) continue;
     best = &vm;
     least = cost;
@@ -187,9 +187,9 @@
     *name = it->first;
     return &vm;
   }
-  const bool waited = now - AwaySince(job, task) > kTrialPatience;
+  const bool waited = now - SuspectWaitingSince(job, task) > kTrialWait;
   if (task.crashed_runs.size() > 1 || !waited) return nullptr;
-  return Choose(job, step, open, task.avoid_vm, now, name);
+  return ChooseVm(job, step, open, task.avoid_vm, now, name);
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/dispatch_halls.cc
+++ b/beamhill/dispatch/dispatch_halls.cc
@@ -8,7 +8,7 @@
 namespace beamhill {
 namespace {
 
-constexpr Duration kMoveOutInterval = std::chrono::milliseconds(500);
+constexpr Duration kHallCheckInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -16,9 +16,9 @@
   if (evacuations.halls != evacuations_.halls) {
     std::string halls;
     for (const std::string& hall : evacuations.halls) halls += " " + hall;
-    Decide("", "evacuations",
-           (halls.empty() ? " none" : halls) + ", table version " +
-               std::to_string(evacuations.version));
+    LogDecision("", "evacuations",
+                (halls.empty() ? " none" : halls) + ", table version " +
+                    std::to_string(evacuations.version));
   }
   evacuations_ = evacuations;
 }
@@ -33,13 +33,13 @@
   return vm.stamp + (now - vm.stamped_at) + kOrderLife;
 }
 
-void Dispatcher::MoveOutOfHalls(TimePoint now) {
+void Dispatcher::EvacuateHalls(TimePoint now) {
   // While lasting tasks wait for room, one that is moved may find none.
-  if (evacuations_.halls.empty() || !kept_room_.empty()) return;
-  if (now - moved_out_at_ < kMoveOutInterval) return;
-  moved_out_at_ = now;
+  if (evacuations_.halls.empty() || !reserved_capacity_.empty()) return;
+  if (now - halls_evacuated_at_ < kHallCheckInterval) return;
+  halls_evacuated_at_ = now;
   for (auto& [name, vm] : vms_) {
-    if (!vm.answered || !IsEvacuated(vm)) continue;
+    if (!vm.has_inventory || !IsEvacuated(vm)) continue;
     for (const auto& [run, held] : std::map<RunRef, HeldRun>(vm.held)) {
       Job* job = Find(run.task.workflow);
       if (job == nullptr || !MayStart(*job) || vm.stops.Has(run)) continue;
@@ -48,11 +48,11 @@
       if (!step.long_running || step.gang || workflow.policy.needs_advice) {
         continue;
       }
-      if (!AllAtWork(*job, run, now)) continue;
+      if (!AllTasksRunning(*job, run, now)) continue;
       const auto loss =
-          LeastLoss(name, *job, {run.task.round, run.task.step}, now);
+          MinLayoutLoss(name, *job, {run.task.round, run.task.step}, now);
       if (loss) {
-        MoveOff(name, vm, *job, run, "its data hall is to be emptied", now);
+        MigrateRun(name, vm, *job, run, "its data hall is to be emptied", now);
       }
     }
   }
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -13,26 +13,26 @@
 constexpr uint64_t kMaxStartsPerTick = 200;
 // A VM gets no starts when its lease has less than this left: the start
 // would be refused, or cut short at once.
-constexpr Duration kLeastLease = std::chrono::milliseconds(800);
-constexpr double kHarmCost = 5;
+constexpr Duration kMinLeaseTime = std::chrono::milliseconds(800);
+constexpr double kHarmfulTailCost = 5;
 // What it costs to bring a serving image to a VM where nothing serves, and to
 // one where only others do; against differences in load of at most 1.
-constexpr double kNewToServing = 3;
-constexpr double kMixing = 2;
+constexpr double kFirstServingCost = 3;
+constexpr double kMixedServingCost = 2;
 // And for each core that fillers lose by it, once that is known.
-constexpr double kLayoutCost = 2;
+constexpr double kLayoutCostPerCore = 2;
 // What it costs to be in another rack than the data, and on the VM where the
 // task failed; these outweigh any difference in load.
-constexpr double kOtherRack = 4;
-constexpr double kAvoided = 8;
+constexpr double kOtherRackCost = 4;
+constexpr double kAvoidedVmCost = 8;
 // And on a VM whose runner is slow after its start: as for a VM where nothing
 // serves, since it passes.
-constexpr double kCold = 3;
+constexpr double kColdVmCost = 3;
 // What ends later than this many times its objective earns nothing.
 constexpr int kLateFactor = 3;
 // A step that asks for more than this part of a service's processors is taken
 // to run in waves of that size: the users count its objective so.
-constexpr int64_t kWavesOfRoom = 4;
+constexpr int64_t kWaveDivisor = 4;
 // Runs of an owner are numbered from its epoch times this, so that they are
 // above those of earlier owners without any record of them.
 constexpr uint64_t kRunsPerEpoch = 1000;
@@ -45,14 +45,15 @@
 }
 
 int64_t Dispatcher::WavesOf(const Job& job, const WorkflowStep& step) const {
-  const auto room = room_.find(job.progress.workflow().service);
-  const int64_t wave = room == room_.end() ? 0 : room->second / kWavesOfRoom;
+  const auto room = service_cpu_.find(job.progress.workflow().service);
+  const int64_t wave =
+      room == service_cpu_.end() ? 0 : room->second / kWaveDivisor;
   if (wave == 0) return 1;
   const int64_t wide = step.each.cpu_millis * step.tasks;
   return std::max<int64_t>(1, (wide + wave - 1) / wave);
 }
 
-void Dispatcher::ExpectRunTimes(Job& job) const {
+void Dispatcher::UpdateExpectedRunTimes(Job& job) const {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t i = 0; i < workflow.steps.size(); ++i) {
     const Duration declared = workflow.steps[i].declared_run;
@@ -61,7 +62,7 @@
   }
 }
 
-Duration Dispatcher::AllowedFor(const Job& job, uint32_t round) const {
+Duration Dispatcher::LatencyObjectiveOf(const Job& job, uint32_t round) const {
   const Workflow& workflow = job.progress.workflow();
   const Duration chain = LongestChain(workflow, [&](size_t number) {
     const WorkflowStep& step = workflow.steps[number];
@@ -78,39 +79,40 @@
 TimePoint Dispatcher::DueOf(const Job& job, uint32_t round, TimePoint now,
                             UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
-  if (workflow.repetitions == 0) return job.added_at + job.allowed;
+  if (workflow.repetitions == 0) return job.added_at + job.objective;
   const UnixMillis began = workflow.first_due + round * workflow.interval;
-  return now + (began - unix_now) + job.allowed;
+  return now + (began - unix_now) + job.objective;
 }
 
 Lateness Dispatcher::LatenessOf(const Job& job, uint32_t round, TimePoint now,
                                 UnixMillis unix_now) {
   const TimePoint due = DueOf(job, round, now, unix_now);
   const TimePoint end = now + job.progress.RemainingChain(round, now);
-  if (end > due + (kLateFactor - 1) * job.allowed) return Lateness::kTooLate;
+  if (end > due + (kLateFactor - 1) * job.objective) return Lateness::kTooLate;
   return end > due ? Lateness::kLate : Lateness::kInTime;
 }
 
-double Dispatcher::OrderOf(const Job& job, uint32_t round, TimePoint now,
-                           UnixMillis unix_now) {
+double Dispatcher::BestEffortRankOf(const Job& job, uint32_t round,
+                                    TimePoint now, UnixMillis unix_now) {
   return YieldOrder(LatenessOf(job, round, now, unix_now),
                     job.progress.RemainingWork(round),
                     DueOf(job, round, now, unix_now));
 }
 
-void Dispatcher::SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now) {
+void Dispatcher::UpdateBestEffortRank(Job& job, TimePoint now,
+                                      UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t round = 0; round < workflow.rounds(); ++round) {
     if (job.progress.RemainingWork(round) <= 0) continue;
-    job.allowed = AllowedFor(job, round);
-    job.yield_order = OrderOf(job, round, now, unix_now);
+    job.objective = LatencyObjectiveOf(job, round);
+    job.best_effort_rank = BestEffortRankOf(job, round, now, unix_now);
     return;
   }
 }
 
 TaskTraits Dispatcher::TraitsOf(const Job& job, const WorkflowStep& step) {
   return {step.image, step.fills, step.tail_target, step.each.cpu_millis,
-          job.yield_order};
+          job.best_effort_rank};
 }
 
 // By lateness, the queue's priority and the order within the class of lateness;
@@ -126,7 +128,7 @@
       Lateness lateness = LatenessOf(*job, open.round, now, unix_now);
       if (workflow.steps[open.step].long_running) lateness = Lateness::kInTime;
       ranked.push_back({Rank{lateness, workflow.policy.priority,
-                             OrderOf(*job, open.round, now, unix_now),
+                             BestEffortRankOf(*job, open.round, now, unix_now),
                              DueOf(*job, open.round, now, unix_now)},
                         {job.get(), open}});
     }
@@ -140,7 +142,7 @@
   return ordered;
 }
 
-void Dispatcher::StartWaiting(TimePoint now, UnixMillis unix_now) {
+void Dispatcher::StartWaitingTasks(TimePoint now, UnixMillis unix_now) {
   no_room_.clear();
   const uint64_t limit = counts_.starts + kMaxStartsPerTick;
   for (const OpenStepRef& ref : ByUrgency(now, unix_now)) {
@@ -172,7 +174,7 @@
     std::string name;
     const bool suspect = !task.crashed_runs.empty();
     Vm* vm = suspect ? ChooseForTrial(job, step, open, task, now, &name)
-                     : Choose(job, step, open, task.avoid_vm, now, &name);
+                     : ChooseVm(job, step, open, task.avoid_vm, now, &name);
     if (vm == nullptr && suspect) continue;
     if (vm == nullptr) return;
     StartOn(name, *vm, job, {workflow.id, open.round, open.step, i},
@@ -220,7 +222,7 @@
   std::vector<Reservation> reserved;
   for (uint32_t i = 0; i < step.tasks; ++i) {
     std::string name;
-    Vm* vm = Choose(job, step, open, "", now, &name, rack);
+    Vm* vm = ChooseVm(job, step, open, "", now, &name, rack);
     if (vm == nullptr) {
       for (const auto& [holder, ref] : reserved) Release(vms_[holder], ref);
       return {};
@@ -251,7 +253,7 @@
   if (step.fills) need.cpu_millis = 0;
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
-  if (!vm.linked || !vm.answered || !vm.leased || status.draining ||
+  if (!vm.linked || !vm.has_inventory || !vm.leased || status.draining ||
       status.life.empty() ||
       status.service != job.progress.workflow().service) {
     return false;
@@ -260,14 +262,14 @@
   if (IsOnTrial(vm, now) && vm.trial->workflow != job.progress.workflow().id) {
     return false;
   }
-  if (now < vm.not_before || vm.lease_bound - now < kLeastLease) return false;
+  if (now < vm.not_before || vm.lease_bound - now < kMinLeaseTime) return false;
   if (!step.required_label.empty() &&
       std::find(status.labels.begin(), status.labels.end(),
                 step.required_label) == status.labels.end()) {
     return false;
   }
-  if (step.fills && !HasRoomToFill(vm, job, step)) return false;
-  return LeavesKeptRoom(name, vm, step) &&
+  if (step.fills && !HasBestEffortRoom(vm, job, step)) return false;
+  return FitsBesideReservation(name, vm, step) &&
          IsHealthyFor(name, vm, job, step, now);
 }
 
@@ -282,41 +284,45 @@
     return false;
   }
   return step.max_per_vm == 0 ||
-         HeldOfStep(vm, workflow.id, open) < step.max_per_vm;
+         HeldRunsOfStep(vm, workflow.id, open) < step.max_per_vm;
 }
 
 // Lower is better. What fills goes where most processor time is left over
 // and least harm is expected; what serves gathers on few VMs, beside its like
 // if it can, so that fillers find VMs where they disturb nothing; the rest
 // goes where it fits tightest.
-double Dispatcher::Cost(const Vm& vm, const WorkflowStep& step) const {
+double Dispatcher::PlacementCost(const Vm& vm, const WorkflowStep& step) const {
   const auto used = static_cast<double>(vm.used.cpu_millis);
-  const auto filling = static_cast<double>(vm.filling_cpu);
+  const auto best_effort = static_cast<double>(vm.best_effort_cpu);
   const auto serving = static_cast<double>(vm.serving_cpu);
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
   if (step.fills) {
     const double busy =
-        (used - serving + dispatch_internal::kServingUse * serving + filling) /
+        (used - serving + dispatch_internal::kServingUtilization * serving +
+         best_effort) /
         whole;
     if (vm.serving.empty()) return busy;
     const double ratio = WorstTailRatio(vm, step);
-    const double harm =
-        ratio > dispatch_internal::kHarmfulRatio ? kHarmCost * ratio : ratio;
+    const double harm = ratio > dispatch_internal::kHarmfulTailRatio
+                            ? kHarmfulTailCost * ratio
+                            : ratio;
     return busy + harm;
   }
   if (step.tail_target > Duration(0)) {
     const double loss =
-        kLayoutCost * LayoutLoss(vm, step.image, step.each.cpu_millis);
-    if (vm.serving.empty()) return loss + kNewToServing + filling / whole;
-    const double mixing = vm.serving.count(step.image) > 0 ? 0 : kMixing;
-    return loss + mixing + (filling - used) / whole;
+        kLayoutCostPerCore * LayoutLoss(vm, step.image, step.each.cpu_millis);
+    if (vm.serving.empty())
+      return loss + kFirstServingCost + best_effort / whole;
+    const double mixing =
+        vm.serving.count(step.image) > 0 ? 0 : kMixedServingCost;
+    return loss + mixing + (best_effort - used) / whole;
   }
   return -used / whole;
 }
 
-bool Dispatcher::HadNoRoom(const std::string& service,
-                           const WorkflowStep& step) const {
+bool Dispatcher::FoundNoRoom(const std::string& service,
+                             const WorkflowStep& step) const {
   return std::any_of(no_room_.begin(), no_room_.end(), [&](const auto& entry) {
     const WorkflowStep& earlier = entry.second;
     // A filler may have been kept away for what its own image disturbs.
@@ -326,8 +332,8 @@
   });
 }
 
-uint32_t Dispatcher::HeldOfStep(const Vm& vm, const std::string& workflow,
-                                const WorkflowProgress::OpenStep& open) {
+uint32_t Dispatcher::HeldRunsOfStep(const Vm& vm, const std::string& workflow,
+                                    const WorkflowProgress::OpenStep& open) {
   const auto held =
       std::count_if(vm.held.begin(), vm.held.end(), [&](const auto& entry) {
         const TaskRef& task = entry.first.task;
@@ -337,29 +343,29 @@
   return static_cast<uint32_t>(held);
 }
 
-Dispatcher::Vm* Dispatcher::Choose(const Job& job, const WorkflowStep& step,
-                                   const WorkflowProgress::OpenStep& open,
-                                   const std::string& avoid, TimePoint now,
-                                   std::string* name,
-                                   const std::optional<std::string>& rack) {
+Dispatcher::Vm* Dispatcher::ChooseVm(const Job& job, const WorkflowStep& step,
+                                     const WorkflowProgress::OpenStep& open,
+                                     const std::string& avoid, TimePoint now,
+                                     std::string* name,
+                                     const std::optional<std::string>& rack) {
   const Workflow& workflow = job.progress.workflow();
   const bool advised = workflow.policy.needs_advice;
   const bool simple =
       step.max_per_vm == 0 && step.required_label.empty() && !advised && !rack;
   // Others may have been kept away from places that are open to this one.
-  const bool had_no_room = HadNoRoom(workflow.service, step);
-  if (simple && had_no_room && !NeedsARun(job)) return nullptr;
+  const bool had_no_room = FoundNoRoom(workflow.service, step);
+  if (simple && had_no_room && !NeedsGuaranteedRun(job)) return nullptr;
   Vm* best = nullptr;
   double best_cost = 0;
   for (auto& [vm_name, vm] : vms_) {
     if (rack && vm.status.rack != *rack) continue;
     if (!MayHost(vm, vm_name, job, step, open, now)) continue;
-    double cost = Cost(vm, step);
+    double cost = PlacementCost(vm, step);
     if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
-      cost += kOtherRack;
+      cost += kOtherRackCost;
     }
-    if (vm_name == avoid) cost += kAvoided;
-    if (vm.cold) cost += kCold;
+    if (vm_name == avoid) cost += kAvoidedVmCost;
+    if (vm.cold) cost += kColdVmCost;
     if (best == nullptr || cost < best_cost) {
       best = &vm;
       best_cost = cost;
@@ -409,7 +415,7 @@
   for (auto& [key, starts] : std::exchange(starts_, {})) {
     // What it knows of a new image's pace comes before the image.
     Vm& vm = vms_[key.first];
-    if (vm.new_image) SendWeightsTo(key.first, vm);
+    if (vm.has_new_image) SendWeightsTo(key.first, vm);
     Send(key.first, std::move(starts));
   }
 }
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -14,24 +14,24 @@
 constexpr Duration kWeightSlack = std::chrono::milliseconds(3);
 constexpr int kWeightSlackDivisor = 8;
 
-bool SameInEffect(const PressureWeight& now, const PressureWeight& told) {
+bool SameEffect(const PressureWeight& now, const PressureWeight& sent) {
   const Duration slack = std::max(
-      kWeightSlack, std::chrono::abs(told.per_vm) / kWeightSlackDivisor);
-  return now.serving == told.serving && now.filling == told.filling &&
-         std::chrono::abs(now.per_vm - told.per_vm) <= slack;
+      kWeightSlack, std::chrono::abs(sent.per_vm) / kWeightSlackDivisor);
+  return now.serving == sent.serving && now.filling == sent.filling &&
+         std::chrono::abs(now.per_vm - sent.per_vm) <= slack;
 }
 
 // Whether an executor that was told the one need not be told the other. Both
 // are in the order of their images; pairs that have gone don't matter.
-bool SameInEffect(const std::vector<PressureWeight>& now,
-                  const std::vector<PressureWeight>& told) {
-  auto it = told.begin();
+bool SameEffect(const std::vector<PressureWeight>& now,
+                const std::vector<PressureWeight>& sent) {
+  auto it = sent.begin();
   for (const PressureWeight& weight : now) {
     const auto same = [&](const PressureWeight& t) {
       return t.serving == weight.serving && t.filling == weight.filling;
     };
-    it = std::find_if(it, told.end(), same);
-    if (it == told.end() || !SameInEffect(weight, *it)) return false;
+    it = std::find_if(it, sent.end(), same);
+    if (it == sent.end() || !SameEffect(weight, *it)) return false;
   }
   return true;
 }
@@ -47,12 +47,12 @@
     loads[load.image] =
         static_cast<double>(load.cpu_millis) / static_cast<double>(whole);
   }
-  ForgetDerived(state);
+  InvalidateCaches(state);
   state.paces.clear();
-  state.filling_cpu_in_use = 0;
+  state.best_effort_cpu_in_use = 0;
   for (const FillingLoad& load : pressure.filling) {
     state.paces[load.image] = load.percent;
-    state.filling_cpu_in_use += load.cpu_millis;
+    state.best_effort_cpu_in_use += load.cpu_millis;
   }
   // A runner that is slow after its start lengthens tails by itself.
   if (state.cold) return;
@@ -82,18 +82,18 @@
     }
     interference_.Recall(summary);
   }
-  RefitPressure();
+  RefitInterference();
 }
 
 void Dispatcher::SendWeights() {
   // They would be out of date once they leave.
   if (authority_ == Authority::kNone) return;
   for (auto& [name, vm] : vms_) {
-    if (vm.answered) SendWeightsTo(name, vm);
+    if (vm.has_inventory) SendWeightsTo(name, vm);
   }
 }
 
-double Dispatcher::WaitingFillerCores(UnixMillis unix_now) const {
+double Dispatcher::WaitingBestEffortCores(UnixMillis unix_now) const {
   double cores = 0;
   for (const auto& [id, job] : jobs_) {
     if (!MayStart(*job)) continue;
@@ -112,74 +112,73 @@
 }
 
 void Dispatcher::RefreshPacePolicy(UnixMillis unix_now) {
-  double asked = WaitingFillerCores(unix_now);
+  double asked = WaitingBestEffortCores(unix_now);
   double free = 0;
   for (const auto& [name, vm] : vms_) {
-    if (!vm.answered) continue;
-    asked += static_cast<double>(vm.filling_cpu) / kMillisOfCore;
+    if (!vm.has_inventory) continue;
+    asked += static_cast<double>(vm.best_effort_cpu) / kMillisOfCore;
     if (!IsEvacuated(vm)) free += FreeCores(vm);
   }
-  const PacePolicy before = filler_load_.policy();
-  filler_load_.Observe(asked, free);
-  const PacePolicy policy = filler_load_.policy();
+  const PacePolicy before = best_effort_load_.policy();
+  best_effort_load_.Observe(asked, free);
+  const PacePolicy policy = best_effort_load_.policy();
   if (policy == before) return;
-  Decide("", "pace_policy",
-         std::string(PacePolicyName(policy)) + ", fillers ask for " +
-             std::to_string(std::lround(filler_load_.ratio() * 100)) +
-             " % of what there is");
+  LogDecision("", "pace_policy",
+              std::string(PacePolicyName(policy)) + ", fillers ask for " +
+                  std::to_string(std::lround(best_effort_load_.ratio() * 100)) +
+                  " % of what there is");
   for (const auto& [name, vm] : vms_) {
-    if (vm.answered) Send(name, PacePolicyNotice{options_.epoch, policy});
+    if (vm.has_inventory) Send(name, PacePolicyNotice{options_.epoch, policy});
   }
 }
 
 std::vector<PressureWeight> Dispatcher::WeightsOn(const Vm& vm) const {
   std::vector<PressureWeight> weights;
   for (const auto& [serving, runs] : vm.serving) {
-    for (const auto& [filling, cpu] : vm.filling) {
-      const auto weight = interference_.WeightOf(serving, filling);
-      if (weight) weights.push_back({serving, filling, *weight});
+    for (const auto& [best_effort, cpu] : vm.best_effort) {
+      const auto weight = interference_.WeightOf(serving, best_effort);
+      if (weight) weights.push_back({serving, best_effort, *weight});
     }
   }
   return weights;
 }
 
 void Dispatcher::SendWeightsTo(const std::string& name, Vm& vm) {
-  vm.new_image = false;
+  vm.has_new_image = false;
   std::vector<PressureWeight> weights = WeightsOn(vm);
-  if (weights.empty() || SameInEffect(weights, vm.told)) return;
-  vm.told = weights;
+  if (weights.empty() || SameEffect(weights, vm.sent_weights)) return;
+  vm.sent_weights = weights;
   Send(name, PressureWeights{options_.epoch, std::move(weights)});
 }
 
-void Dispatcher::RefitPressure() {
+void Dispatcher::RefitInterference() {
   if (interference_.Refit()) ++interference_version_;
 }
 
 double Dispatcher::WorstTailRatio(const Vm& vm,
-                                  const WorkflowStep& filler) const {
+                                  const WorkflowStep& step) const {
   if (vm.serving.empty()) return 0;
-  if (vm.ratios_version != interference_version_) vm.ratios.clear();
-  vm.ratios_version = interference_version_;
-  for (const dispatch_internal::KnownRatio& known : vm.ratios) {
-    if (known.cpu_millis == filler.each.cpu_millis &&
-        known.image == filler.image) {
+  if (vm.tail_ratios_version != interference_version_) vm.tail_ratios.clear();
+  vm.tail_ratios_version = interference_version_;
+  for (const dispatch_internal::CachedTailRatio& known : vm.tail_ratios) {
+    if (known.cpu_millis == step.each.cpu_millis && known.image == step.image) {
       return known.ratio;
     }
   }
-  const double ratio = PredictTailRatio(vm, filler);
-  vm.ratios.push_back({filler.each.cpu_millis, filler.image, ratio});
+  const double ratio = PredictTailRatio(vm, step);
+  vm.tail_ratios.push_back({step.each.cpu_millis, step.image, ratio});
   return ratio;
 }
 
 double Dispatcher::PredictTailRatio(const Vm& vm,
-                                    const WorkflowStep& filler) const {
+                                    const WorkflowStep& step) const {
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
   ClassLoads loads;
-  for (const auto& [image, cpu] : vm.filling) {
+  for (const auto& [image, cpu] : vm.best_effort) {
     loads[image] = static_cast<double>(cpu) / whole;
   }
-  loads[filler.image] += static_cast<double>(filler.each.cpu_millis) / whole;
+  loads[step.image] += static_cast<double>(step.each.cpu_millis) / whole;
   double worst = 0;
   for (const auto& [image, serving] : vm.serving) {
     const auto tail = interference_.Predict(image, loads);
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -13,30 +13,31 @@
 
 // How often an inventory with unknown workflows is asked for again before
 // its unknown runs are stopped.
-constexpr int kUnknownTries = 4;
+constexpr int kMaxUnknownInventories = 4;
 // A refused or failed task waits so long before it is tried again.
-constexpr Duration kRetryPause = std::chrono::milliseconds(60);
+constexpr Duration kTaskRetryDelay = std::chrono::milliseconds(60);
 // A VM that refused a start for want of room gets none for so long.
-constexpr Duration kNoRoomPause = std::chrono::milliseconds(250);
+constexpr Duration kNoRoomBackOff = std::chrono::milliseconds(250);
 // A VM whose runner nobody answers for; its lease ends meanwhile, or its next
 // life registers.
-constexpr Duration kUnreachablePause = std::chrono::milliseconds(1500);
+constexpr Duration kUnreachableBackOff = std::chrono::milliseconds(1500);
 
 }  // namespace
 
-void Dispatcher::MoveOff(const std::string& name, Vm& vm, Job& job,
-                         const RunRef& run, const std::string& reason,
-                         TimePoint now) {
+void Dispatcher::MigrateRun(const std::string& name, Vm& vm, Job& job,
+                            const RunRef& run, const std::string& reason,
+                            TimePoint now) {
   job.progress.At(run.task).avoid_vm = name;
   vm.stops.Add(run, now);
   ++counts_.moved;
   run_log_.Note("run_moved", run, name, reason);
 }
 
-void Dispatcher::MoveOffDraining(const std::string& name, Vm& vm,
-                                 TimePoint now) {
+void Dispatcher::MigrateOffDraining(const std::string& name, Vm& vm,
+                                    TimePoint now) {
   const auto left = static_cast<int64_t>(ToMillis(vm.status.remaining));
-  Decide("", "vm_draining", name + ", " + std::to_string(left) + " ms left");
+  LogDecision("", "vm_draining",
+              name + ", " + std::to_string(left) + " ms left");
   for (const auto& [run, held] : vm.held) {
     const Job* job = Find(run.task.workflow);
     if (job == nullptr) continue;
@@ -50,28 +51,28 @@
 
 void Dispatcher::Hold(Vm& vm, const RunRef& run, Job& job,
                       const WorkflowStep& step) {
-  if (++job.held_runs > 1) job.kept_going = false;
-  ForgetDerived(vm);
+  if (++job.held_runs > 1) job.run_guaranteed = false;
+  InvalidateCaches(vm);
   HeldRun held;
-  held.yield_order = job.yield_order;
+  held.best_effort_rank = job.best_effort_rank;
   held.amount = step.each;
   held.image = step.image;
   held.tail_target = step.tail_target;
   if (step.fills) {
-    std::swap(held.filling_cpu, held.amount.cpu_millis);
-    const bool added = vm.filling.count(step.image) == 0;
-    vm.new_image = vm.new_image || added;
-    vm.filling[step.image] += held.filling_cpu;
+    std::swap(held.best_effort_cpu, held.amount.cpu_millis);
+    const bool added = vm.best_effort.count(step.image) == 0;
+    vm.has_new_image = vm.has_new_image || added;
+    vm.best_effort[step.image] += held.best_effort_cpu;
   }
   if (held.tail_target > Duration(0)) {
     vm.serving_cpu += held.amount.cpu_millis;
     tail_targets_[step.image] = step.tail_target;
     dispatch_internal::ServingImage& image = vm.serving[step.image];
-    vm.new_image = vm.new_image || image.runs == 0;
+    vm.has_new_image = vm.has_new_image || image.runs == 0;
     ++image.runs;
     image.tail_target = step.tail_target;
   }
-  vm.filling_cpu += held.filling_cpu;
+  vm.best_effort_cpu += held.best_effort_cpu;
   vm.used += held.amount;
   vm.held[run] = held;
 }
@@ -80,7 +81,7 @@
   vm.stops.Remove(run);
   const auto it = vm.held.find(run);
   if (it == vm.held.end()) return;
-  ForgetDerived(vm);
+  InvalidateCaches(vm);
   Job* job = Find(run.task.workflow);
   if (job != nullptr && job->held_runs > 0) --job->held_runs;
   const HeldRun& held = it->second;
@@ -88,18 +89,18 @@
     vm.serving_cpu -= held.amount.cpu_millis;
     if (--vm.serving[held.image].runs == 0) vm.serving.erase(held.image);
   }
-  if (held.filling_cpu > 0) {
-    vm.filling[held.image] -= held.filling_cpu;
-    if (vm.filling[held.image] <= 0) vm.filling.erase(held.image);
+  if (held.best_effort_cpu > 0) {
+    vm.best_effort[held.image] -= held.best_effort_cpu;
+    if (vm.best_effort[held.image] <= 0) vm.best_effort.erase(held.image);
   }
-  vm.filling_cpu -= held.filling_cpu;
+  vm.best_effort_cpu -= held.best_effort_cpu;
   vm.used -= held.amount;
   vm.held.erase(it);
 }
 
 void Dispatcher::SendStops(const std::string& name, Vm& vm, TimePoint now) {
-  // One that has not answered may obey all the same; if not, they are due again
-  // once it has.
+  // One that has not has_inventory may obey all the same; if not, they are due
+  // again once it has.
   if (!vm.linked || authority_ == Authority::kNone) return;
   StopRuns stops{options_.epoch, vm.status.life, {}};
   for (const DueStop& stop : vm.stops.TakeDue(now)) {
@@ -130,8 +131,8 @@
   }
 }
 
-void Dispatcher::LetGo(const std::string& name, Vm& vm, RunRef run,
-                       const char* why, TimePoint now) {
+void Dispatcher::MarkLapsed(const std::string& name, Vm& vm, RunRef run,
+                            const char* why, TimePoint now) {
   Release(vm, run);
   ++counts_.lapsed;
   Job* job = Find(run.task.workflow);
@@ -140,15 +141,15 @@
   run_log_.Note("run_let_go", run, name, why);
 }
 
-void Dispatcher::LetGoAll(const std::string& name, Vm& vm, const char* why,
-                          TimePoint now) {
+void Dispatcher::MarkAllLapsed(const std::string& name, Vm& vm, const char* why,
+                               TimePoint now) {
   while (!vm.held.empty()) {
-    LetGo(name, vm, vm.held.begin()->first, why, now);
+    MarkLapsed(name, vm, vm.held.begin()->first, why, now);
   }
   vm.stops.Clear();
 }
 
-bool Dispatcher::AllKnown(const VmInventory& inventory) {
+bool Dispatcher::AllWorkflowsKnown(const VmInventory& inventory) {
   const auto known = [this](const RunRef& run) {
     return Knows(run.task.workflow);
   };
@@ -179,27 +180,28 @@
   vm.stops.Add(run, now);
 }
 
-void Dispatcher::NoteWarmth(Vm& vm, TimePoint now) {
+void Dispatcher::UpdateWarmUp(Vm& vm, TimePoint now) {
   vm.warm_at = now + vm.status.cold;
   vm.cold = vm.status.cold > Duration(0);
 }
 
-void Dispatcher::TakeInventoryStatus(const std::string& name, Vm& vm,
-                                     const VmStatus& status, TimePoint now) {
+void Dispatcher::ApplyInventoryStatus(const std::string& name, Vm& vm,
+                                      const VmStatus& status, TimePoint now) {
   if (status.life != vm.status.life) {
     // Another life of the runner: all that the earlier one ran is gone. Where
     // it can't be told whether it is another, stops settle what is not there.
     if (!MayBeSameLife(status.life, vm.status.life)) {
-      LetGoAll(name, vm,
-               status.life.empty() ? "runner gone" : "runner replaced", now);
+      MarkAllLapsed(name, vm,
+                    status.life.empty() ? "runner gone" : "runner replaced",
+                    now);
     }
     vm.trial.reset();
     vm.not_before = TimePoint{};
-    vm.processed = 0;
-    vm.settled = 0;
+    vm.applied_end = 0;
+    vm.acknowledged_end = 0;
   }
   vm.status = status;
-  NoteWarmth(vm, now);
+  UpdateWarmUp(vm, now);
 }
 
 void Dispatcher::StopMissing(Vm& vm, const VmInventory& inventory,
@@ -221,20 +223,21 @@
                              const VmInventory& inventory, TimePoint now) {
   Vm& state = vms_[vm];
   if (inventory.epoch != options_.epoch) return true;
-  if (!AllKnown(inventory) && state.unknown_tries < kUnknownTries) {
-    ++state.unknown_tries;
+  if (!AllWorkflowsKnown(inventory) &&
+      state.unknown_inventories < kMaxUnknownInventories) {
+    ++state.unknown_inventories;
     return false;
   }
-  state.unknown_tries = 0;
-  state.told.clear();  // Its executor may be another.
+  state.unknown_inventories = 0;
+  state.sent_weights.clear();  // Its executor may be another.
   for (const PastLife& past : inventory.past_lives) {
-    ApplyPastEnds(vm, state, past, now);
+    ApplyPastIncarnationEnds(vm, state, past, now);
   }
-  TakeInventoryStatus(vm, state, inventory.status, now);
+  ApplyInventoryStatus(vm, state, inventory.status, now);
   for (const PastLife& past : inventory.past_lives) {
-    if (!past.announced) NoteLostRunner(vm, state, past, now);
+    if (!past.announced) RecordLostRunner(vm, state, past, now);
   }
-  state.answered = true;
+  state.has_inventory = true;
   // Good until the first lease: what is reported here runs under leases that
   // are not longer than ours.
   state.lease_bound = std::max(state.lease_bound, now + options_.lease_term);
@@ -249,12 +252,12 @@
       job->progress.OnBegun();  // The report of it may be lost.
     }
   }
-  if (state.status.draining) MoveOffDraining(vm, state, now);
+  if (state.status.draining) MigrateOffDraining(vm, state, now);
   SendStops(vm, state, now);
   SendTraits(vm, state);
   // An earlier owner may have told it otherwise.
-  Send(vm, PacePolicyNotice{options_.epoch, filler_load_.policy()});
-  Account(vm);
+  Send(vm, PacePolicyNotice{options_.epoch, best_effort_load_.policy()});
+  MarkReconciled(vm);
   return true;
 }
 
@@ -270,8 +273,8 @@
   if (!list.runs.empty()) Send(name, std::move(list));
 }
 
-void Dispatcher::NoteOutcome(const std::string& name, Job& job,
-                             const RunEnd& end, TimePoint now) {
+void Dispatcher::RecordOutcome(const std::string& name, Job& job,
+                               const RunEnd& end, TimePoint now) {
   const bool failed = end.kind == RunEndKind::kFailed;
   if (!failed && end.kind != RunEndKind::kDone) return;
   ++(failed ? counts_.failed : counts_.done);
@@ -286,11 +289,11 @@
   if (job.progress.OnOutlived(ref, end.run.run)) MarkDirty(job);
   task.avoid_vm = name;
   if (!job.progress.workflow().steps[ref.step].long_running) {
-    task.not_before = now + kRetryPause;
+    task.not_before = now + kTaskRetryDelay;
   }
 }
 
-void Dispatcher::LearnRunTime(const Job& job, const TaskRef& ref) {
+void Dispatcher::RecordRunTime(const Job& job, const TaskRef& ref) {
   if (!job.progress.StepDone(ref.round, ref.step)) return;
   const Workflow& workflow = job.progress.workflow();
   const auto measured = job.progress.MeasuredRun(ref.step);
@@ -301,41 +304,43 @@
 
 void Dispatcher::ApplyEnd(const std::string& name, Vm& vm, const RunEnd& end,
                           TimePoint now) {
-  if (end.number <= vm.processed) return;
-  vm.processed = end.number;
+  if (end.number <= vm.applied_end) return;
+  vm.applied_end = end.number;
   Job* job = Find(end.run.task.workflow);
   if (job != nullptr && job->progress.Has(end.run.task)) {
-    NoteOutcome(name, *job, end, now);
+    RecordOutcome(name, *job, end, now);
   }
   run_log_.Note("run_ended", end.run, name,
                 std::string(RunEndKindName(end.kind)));
-  TakeEnd(vm, end, now);
+  RecordEnd(vm, end, now);
 }
 
 void Dispatcher::ApplyListedEnd(const std::string& name, Vm& vm,
                                 const RunEnd& end, TimePoint now) {
   ApplyEnd(name, vm, end, now);
-  // What is still listed was not settled there, whatever was sent. An end that
-  // was not taken in must not be settled at all.
+  // What is still listed was not acknowledged_end there, whatever was
+  // sent. An end that was not taken in must not be acknowledged_end at
+  // all.
   const bool taken_in = vm.held.count(end.run) == 0;
-  if (taken_in) vm.settled = std::min(vm.settled, end.number - 1);
+  if (taken_in)
+    vm.acknowledged_end = std::min(vm.acknowledged_end, end.number - 1);
 }
 
 // Only ends that say something of the task: a checkpoint of an earlier life may
 // be older than what is known by now.
-void Dispatcher::ApplyPastEnds(const std::string& name, Vm& vm,
-                               const PastLife& past, TimePoint now) {
+void Dispatcher::ApplyPastIncarnationEnds(const std::string& name, Vm& vm,
+                                          const PastLife& past, TimePoint now) {
   for (const RunEnd& end : past.ended) {
     if (end.kind != RunEndKind::kDone && end.kind != RunEndKind::kFailed) {
       continue;
     }
-    if (!TakeEnd(vm, end, now)) continue;
+    if (!RecordEnd(vm, end, now)) continue;
     run_log_.Note("run_ended", end.run, name,
                   std::string(RunEndKindName(end.kind)) + " in a past life");
   }
 }
 
-bool Dispatcher::TakeEnd(Vm& vm, const RunEnd& end, TimePoint now) {
+bool Dispatcher::RecordEnd(Vm& vm, const RunEnd& end, TimePoint now) {
   const RunRef& run = end.run;
   Release(vm, run);
   Job* job = Find(run.task.workflow);
@@ -349,15 +354,15 @@
   const bool changed =
       job->progress.OnEnded(run.task, run.run, end.kind, end.checkpoint, now);
   if (changed) MarkDirty(*job);
-  if (changed && end.kind == RunEndKind::kDone) LearnRunTime(*job, run.task);
+  if (changed && end.kind == RunEndKind::kDone) RecordRunTime(*job, run.task);
   if (end.kind == RunEndKind::kDone && held_elsewhere &&
       task.phase == WorkflowProgress::Phase::kDone) {
     vms_[other_vm].stops.Add(other, now);
     SendStops(other_vm, vms_[other_vm], now);
   }
   if (!was_over && job->progress.over()) {
-    Decide(run.task.workflow, "workflow_over",
-           std::string(WorkflowStateName(job->progress.state())));
+    LogDecision(run.task.workflow, "workflow_over",
+                std::string(WorkflowStateName(job->progress.state())));
     OnOver(*job, now);
   }
   return changed;
@@ -373,11 +378,11 @@
   Job* job = Find(run.task.workflow);
   if (job == nullptr) return;
   job->progress.OnEnded(run.task, run.run, RunEndKind::kNotBegun, "", now);
-  job->progress.At(run.task).not_before = now + kRetryPause;
+  job->progress.At(run.task).not_before = now + kTaskRetryDelay;
   if (refused.reason == NotBegunReason::kUnreachable) {
-    vm.not_before = now + kUnreachablePause;
+    vm.not_before = now + kUnreachableBackOff;
   } else if (refused.reason != NotBegunReason::kStopped) {
-    vm.not_before = now + kNoRoomPause;
+    vm.not_before = now + kNoRoomBackOff;
   }
   run_log_.Note("run_not_begun", run, name,
                 std::string(NotBegunReasonName(refused.reason)));
@@ -386,7 +391,7 @@
 void Dispatcher::OnReports(const std::string& vm, const RunReports& reports,
                            TimePoint now) {
   Vm& state = vms_[vm];
-  if (reports.epoch != options_.epoch || !state.answered ||
+  if (reports.epoch != options_.epoch || !state.has_inventory ||
       reports.life != state.status.life) {
     return;
   }
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -9,8 +9,8 @@
 
 // A weight that has moved by less than this, or this part of itself, is no
 // news.
-constexpr Duration kNews = std::chrono::milliseconds(10);
-constexpr int kNewsDivisor = 4;
+constexpr Duration kMinWeightChange = std::chrono::milliseconds(10);
+constexpr int kMinWeightChangeDivisor = 4;
 
 }  // namespace
 
@@ -21,7 +21,8 @@
     const Duration before =
         told == logged_weights_.end() ? Duration(0) : told->second;
     const Duration moved = std::chrono::abs(weight.per_vm - before);
-    if (moved < std::max(kNews, std::chrono::abs(before) / kNewsDivisor)) {
+    if (moved < std::max(kMinWeightChange,
+                         std::chrono::abs(before) / kMinWeightChangeDivisor)) {
       continue;
     }
     news.push_back({moved, {weight.serving, weight.filler, weight.per_vm}});
@@ -44,15 +45,15 @@
     summary.stops += vm.stops.size();
     summary.oldest_stop =
         std::max(summary.oldest_stop, vm.stops.OldestAge(now));
-    if (!vm.answered) continue;
+    if (!vm.has_inventory) continue;
     ++summary.vms;
     summary.capacity += vm.status.capacity;
     summary.used += vm.used;
     summary.serving_cpu += vm.serving_cpu;
-    summary.filling_cpu += vm.filling_cpu;
+    summary.filling_cpu += vm.best_effort_cpu;
     // The last report of a VM stays after its last filler has gone.
     summary.filling_cpu_in_use +=
-        std::min(vm.filling_cpu_in_use, vm.filling_cpu);
+        std::min(vm.best_effort_cpu_in_use, vm.best_effort_cpu);
     summary.held_runs += vm.held.size();
   }
   for (const auto& [id, job] : jobs_) {
@@ -87,15 +88,15 @@
 std::string Dispatcher::Dump(TimePoint now) const {
   std::ostringstream out;
   out << "epoch " << options_.epoch << " workflows " << jobs_.size()
-      << " unaccounted " << unaccounted_.size() << "\n";
+      << " unaccounted " << unreconciled_.size() << "\n";
   for (const std::string& hall : evacuations_.halls) {
     out << "evacuated hall " << hall << "\n";
   }
   for (const auto& [name, vm] : vms_) {
     out << "vm " << name << " life " << vm.status.life << " answered "
-        << vm.answered << " held " << vm.held.size() << " stops "
+        << vm.has_inventory << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
-        << vm.status.capacity.cpu_millis << " filling " << vm.filling_cpu
+        << vm.status.capacity.cpu_millis << " filling " << vm.best_effort_cpu
         << " lease_ms " << ToMillis(vm.lease_bound - now) << "\n";
   }
   for (const TaskRef& task : suspects_) {
@@ -112,7 +113,7 @@
     if (job->progress.over()) continue;
     out << "workflow " << id << " " << WorkflowStateName(job->progress.state())
         << " opened " << job->opened << " inherited " << job->inherited
-        << " due_ms " << ToMillis(job->added_at + job->allowed - now) << "\n";
+        << " due_ms " << ToMillis(job->added_at + job->objective - now) << "\n";
   }
   return out.str();
 }
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -11,7 +11,7 @@
 constexpr Duration kRunLogInterval = std::chrono::milliseconds(250);
 
 // What a workflow asks for, in short, for the log.
-std::string ShapeOf(const Workflow& workflow) {
+std::string Summarize(const Workflow& workflow) {
   std::string shape = workflow.repetitions > 0
                           ? std::to_string(workflow.repetitions) + " rounds of"
                           : "";
@@ -44,10 +44,10 @@
     : options_(options),
       on_decision_(std::move(on_decision)),
       run_log_(on_decision_),
-      taken_at_(now),
-      confirmed_at_(now),
-      unaccounted_(options.inherited_vms.begin(), options.inherited_vms.end()) {
-}
+      ownership_taken_at_(now),
+      ownership_confirmed_at_(now),
+      unreconciled_(options.inherited_vms.begin(),
+                    options.inherited_vms.end()) {}
 
 Dispatcher::~Dispatcher() { run_log_.Flush(); }
 
@@ -67,15 +67,17 @@
 
 bool Dispatcher::MayStart(const Job& job) const {
   if (!job.opened || job.progress.over()) return false;
-  return !job.inherited || unaccounted_.empty();
+  return !job.inherited || unreconciled_.empty();
 }
 
-void Dispatcher::Decide(const std::string& workflow, const char* event,
-                        const std::string& detail) {
+void Dispatcher::LogDecision(const std::string& workflow, const char* event,
+                             const std::string& detail) {
   if (on_decision_) on_decision_(workflow, event, detail);
 }
 
-void Dispatcher::Account(const std::string& vm) { unaccounted_.erase(vm); }
+void Dispatcher::MarkReconciled(const std::string& vm) {
+  unreconciled_.erase(vm);
+}
 
 bool Dispatcher::Knows(const std::string& workflow) const {
   return jobs_.count(workflow) > 0;
@@ -92,8 +94,8 @@
   job->opened = last_opener == options_.epoch;
   job->inherited = !job->opened && last_opener != 0;
   job->added_at = now;
-  ExpectRunTimes(*job);
-  job->allowed = AllowedFor(*job, 0);
+  UpdateExpectedRunTimes(*job);
+  job->objective = LatencyObjectiveOf(*job, 0);
   if (record) {
     job->progress.Restore(*record);
     job->stored_state = record->state;
@@ -108,17 +110,17 @@
   jobs_.emplace(workflow.id, std::move(job));
   if (!added.progress.over() && !added.opened) MarkDirty(added);
   // Before it is late; brought up to date from then on.
-  added.yield_order = added.progress.RemainingWork(0);
-  Decide(workflow.id, "workflow_added",
-         std::string(added.inherited ? "inherited" : "new here") + ", " +
-             ShapeOf(workflow));
+  added.best_effort_rank = added.progress.RemainingWork(0);
+  LogDecision(workflow.id, "workflow_added",
+              std::string(added.inherited ? "inherited" : "new here") + ", " +
+                  Summarize(workflow));
 }
 
 void Dispatcher::Cancel(const std::string& workflow, TimePoint now) {
   Job* job = Find(workflow);
   if (job == nullptr || job->progress.over()) return;
   job->progress.Cancel();
-  Decide(workflow, "workflow_cancelled", "on request");
+  LogDecision(workflow, "workflow_cancelled", "on request");
   OnOver(*job, now);
 }
 
@@ -155,27 +157,27 @@
 void Dispatcher::OnLinkUp(const std::string& vm) {
   Vm& state = vms_[vm];
   state.linked = true;
-  state.answered = false;
+  state.has_inventory = false;
   state.leased = false;
   SendAttach(vm);
 }
 
 void Dispatcher::OnLinkDown(const std::string& vm) {
   vms_[vm].linked = false;
-  vms_[vm].answered = false;
+  vms_[vm].has_inventory = false;
   vms_[vm].leased = false;
 }
 
 void Dispatcher::OnVmSilent(const std::string& vm) {
   Vm& state = vms_[vm];
-  if (!state.linked || !state.answered) return;
-  state.answered = false;
+  if (!state.linked || !state.has_inventory) return;
+  state.has_inventory = false;
   state.leased = false;
   SendAttach(vm);
 }
 
-// Without authority they would pile up: each VM that has not answered is asked
-// once it is back.
+// Without authority they would pile up: each VM that has not has_inventory is
+// asked once it is back.
 void Dispatcher::SendAttach(const std::string& vm) {
   if (authority_ == Authority::kNone) return;
   Send(vm, Attach{"", options_.epoch});
@@ -183,7 +185,7 @@
 
 void Dispatcher::AttachAgain() {
   for (const auto& [name, vm] : vms_) {
-    if (vm.linked && !vm.answered) SendAttach(name);
+    if (vm.linked && !vm.has_inventory) SendAttach(name);
   }
 }
 
@@ -218,7 +220,7 @@
 void Dispatcher::OnHeartbeat(const std::string& vm, const VmHeartbeat& beat,
                              TimePoint now) {
   Vm& state = vms_[vm];
-  if (beat.epoch != options_.epoch || !state.answered) return;
+  if (beat.epoch != options_.epoch || !state.has_inventory) return;
   if (authority_ != Authority::kFull) return;
   state.leased = true;
   state.stamp = beat.stamp;
@@ -234,13 +236,13 @@
   Vm& state = vms_[vm];
   if (status.life != state.status.life) {
     // Its work is gone, or will be found by the next inventory.
-    state.answered = false;
+    state.has_inventory = false;
     return;
   }
   const bool begins_to_drain = status.draining && !state.status.draining;
   state.status = status;
-  NoteWarmth(state, now);
-  if (begins_to_drain) MoveOffDraining(vm, state, now);
+  UpdateWarmUp(state, now);
+  if (begins_to_drain) MigrateOffDraining(vm, state, now);
 }
 
 void Dispatcher::OnOver(Job& job, TimePoint now) {
@@ -251,18 +253,19 @@
 }
 
 void Dispatcher::OnConfirmed(TimePoint sent_at) {
-  confirmed_at_ = std::max(confirmed_at_, sent_at);
+  ownership_confirmed_at_ = std::max(ownership_confirmed_at_, sent_at);
 }
 
-bool Dispatcher::IsPast(TimePoint bound, TimePoint now) const {
-  return now >= bound && confirmed_at_ >= bound;
+bool Dispatcher::IsPastAndConfirmed(TimePoint bound, TimePoint now) const {
+  return now >= bound && ownership_confirmed_at_ >= bound;
 }
 
 bool Dispatcher::WantsConfirmation(TimePoint now) const {
   const auto waits = [&](TimePoint bound) {
-    return now >= bound && confirmed_at_ < bound;
+    return now >= bound && ownership_confirmed_at_ < bound;
   };
-  if (!unaccounted_.empty() && waits(taken_at_ + options_.inherited_bound)) {
+  if (!unreconciled_.empty() &&
+      waits(ownership_taken_at_ + options_.inherited_bound)) {
     return true;
   }
   return std::any_of(vms_.begin(), vms_.end(), [&](const auto& entry) {
@@ -273,18 +276,18 @@
 void Dispatcher::ExpireLeases(TimePoint now) {
   for (auto& [name, vm] : vms_) {
     const bool idle = vm.held.empty() && vm.stops.empty();
-    if (idle || !IsPast(vm.lease_bound, now)) continue;
-    Decide("", "vm_lapsed", name);
-    if (vm.linked) SuspectUnansweredFor(name, vm, now);
-    LetGoAll(name, vm, "lease over", now);
-    if (vm.answered) {
-      vm.answered = false;
+    if (idle || !IsPastAndConfirmed(vm.lease_bound, now)) continue;
+    LogDecision("", "vm_lapsed", name);
+    if (vm.linked) SuspectSilentRunner(name, vm, now);
+    MarkAllLapsed(name, vm, "lease over", now);
+    if (vm.has_inventory) {
+      vm.has_inventory = false;
       vm.leased = false;
       if (vm.linked) SendAttach(name);
     }
   }
-  if (IsPast(taken_at_ + options_.inherited_bound, now)) {
-    unaccounted_.clear();
+  if (IsPastAndConfirmed(ownership_taken_at_ + options_.inherited_bound, now)) {
+    unreconciled_.clear();
   }
 }
 
@@ -292,15 +295,15 @@
   ExpireLeases(now);
   if (authority_ == Authority::kFull) {
     RefreshIdle(now);
-    RefreshOrder(now, unix_now);
-    MoveStarved(now);
+    RefreshBestEffortRanks(now, unix_now);
+    MigrateStarved(now);
     RefreshLayout(now);
-    RefreshLasting(now);
+    RefreshLongRunning(now);
     ClearSuspects(now);
-    MoveOutOfHalls(now);
+    EvacuateHalls(now);
   }
   SendDueStops(now);
-  if (authority_ == Authority::kFull) StartWaiting(now, unix_now);
+  if (authority_ == Authority::kFull) StartWaitingTasks(now, unix_now);
   if (now - runs_logged_at_ < kRunLogInterval) return;
   runs_logged_at_ = now;
   run_log_.Flush();
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -12,10 +12,10 @@
 //    lease that could cover it has run out and the ownership is confirmed to
 //    be still ours since: a successor might have renewed them.
 //  - What an earlier owner may have started waits until all VMs that it could
-//    have used have answered, or its leases have run out. An owner stores its
-//    epoch with a workflow before it starts any of it, so workflows of its
+//    have used have has_inventory, or its leases have run out. An owner stores
+//    its epoch with a workflow before it starts any of it, so workflows of its
 //    own need not wait.
-//  - An end is settled at the runner only after it is stored.
+//  - An end is acknowledged_end at the runner only after it is stored.
 //  - A start that has not left as the owner's authority ends never does.
 //
 //   auto dispatcher = Dispatcher::Create(options, now);
@@ -82,10 +82,11 @@
   void OnLinkDown(const std::string& vm);
   // Its link is up but says nothing: its work is to be told anew.
   void OnVmSilent(const std::string& vm);
-  // Asks VMs that are linked and have not answered once more; to be called some
-  // seconds apart.
+  // Asks VMs that are linked and have not has_inventory once more; to be called
+  // some seconds apart.
   void AttachAgain();
-  // The executor's heartbeat; answered with a lease when the VM may run work.
+  // The executor's heartbeat; has_inventory with a lease when the VM may run
+  // work.
   void OnHeartbeat(const std::string& vm, const VmHeartbeat& beat,
                    TimePoint now);
   void OnStatus(const std::string& vm, const VmStatus& status, TimePoint now);
@@ -103,8 +104,8 @@
   // Whether a silent VM waits only for such a confirmation.
   bool WantsConfirmation(TimePoint now) const;
 
-  // Questions for the advisor, each to be answered once; without advice when
-  // it could not be had.
+  // Questions for the advisor, each to be has_inventory once; without advice
+  // when it could not be had.
   std::vector<AdviceRequest> TakeAdviceRequests();
   void OnAdvice(const TaskRef& step, const std::optional<Advice>& advice,
                 TimePoint now);
@@ -113,8 +114,8 @@
   void SetEvacuations(const Evacuations& evacuations);
 
   // Leases are granted and tasks started with full authority only. As it ends,
-  // starts that have not left are given back; stops and settled ends wait until
-  // it is back.
+  // starts that have not left are given back; stops and acknowledged_end
+  // ends wait until it is back.
   void SetAuthority(Authority authority, TimePoint now);
 
   // What was learned of pressure, to be stored; and what an earlier owner
@@ -158,7 +159,7 @@
   using Job = dispatch_internal::Job;
   using HeldRun = dispatch_internal::HeldRun;
   using Vm = dispatch_internal::Vm;
-  using LastingWait = dispatch_internal::LastingWait;
+  using LongRunningWait = dispatch_internal::LongRunningWait;
   using Relocation = dispatch_internal::Relocation;
   // By VM: the life of its runner and the number of an end.
   using EndsByVm = std::map<std::string, std::pair<std::string, uint64_t>>;
@@ -182,14 +183,14 @@
   // Whether its tasks may be started: it is stored under this epoch, and what
   // an earlier owner may have started of it is known.
   bool MayStart(const Job& job) const;
-  void Decide(const std::string& workflow, const char* event,
-              const std::string& detail);
+  void LogDecision(const std::string& workflow, const char* event,
+                   const std::string& detail);
   // The VM's work under earlier owners is known.
-  void Account(const std::string& vm);
+  void MarkReconciled(const std::string& vm);
   void OnOver(Job& job, TimePoint now);
   void ExpireLeases(TimePoint now);
   // Whether the bound is past, and the ownership confirmed since.
-  bool IsPast(TimePoint bound, TimePoint now) const;
+  bool IsPastAndConfirmed(TimePoint bound, TimePoint now) const;
 
   // In dispatch_runs.cc.
   void Hold(Vm& vm, const RunRef& run, Job& job, const WorkflowStep& step);
@@ -199,34 +200,34 @@
   void SendStops(const std::string& name, Vm& vm, TimePoint now);
   void SendDueStops(TimePoint now);
   // Stops the run, to start again on another VM from its checkpoint.
-  void MoveOff(const std::string& name, Vm& vm, Job& job, const RunRef& run,
-               const std::string& reason, TimePoint now);
+  void MigrateRun(const std::string& name, Vm& vm, Job& job, const RunRef& run,
+                  const std::string& reason, TimePoint now);
   // Moves off a draining VM what can't end there: its runs are stopped, and
   // start again elsewhere from their checkpoints.
-  void MoveOffDraining(const std::string& name, Vm& vm, TimePoint now);
+  void MigrateOffDraining(const std::string& name, Vm& vm, TimePoint now);
   // Takes the run by value: it may lie in the table that it is erased from.
   // `why` is for the log.
-  void LetGo(const std::string& name, Vm& vm, RunRef run, const char* why,
-             TimePoint now);
-  void LetGoAll(const std::string& name, Vm& vm, const char* why,
-                TimePoint now);
+  void MarkLapsed(const std::string& name, Vm& vm, RunRef run, const char* why,
+                  TimePoint now);
+  void MarkAllLapsed(const std::string& name, Vm& vm, const char* why,
+                     TimePoint now);
   // Whether every workflow with a run in the inventory is known here.
-  bool AllKnown(const VmInventory& inventory);
+  bool AllWorkflowsKnown(const VmInventory& inventory);
   // Takes over a run that an inventory shows; stops it when it is no run of
   // a waiting task.
   void Adopt(const std::string& name, Vm& vm, const RunRef& run, TimePoint now);
-  static void NoteWarmth(Vm& vm, TimePoint now);
-  void TakeInventoryStatus(const std::string& name, Vm& vm,
-                           const VmStatus& status, TimePoint now);
+  static void UpdateWarmUp(Vm& vm, TimePoint now);
+  void ApplyInventoryStatus(const std::string& name, Vm& vm,
+                            const VmStatus& status, TimePoint now);
   // Has the held runs stopped that an inventory doesn't show, and all stops
   // sent again that were sent before it.
   static void StopMissing(Vm& vm, const VmInventory& inventory, TimePoint now);
   void SendTraits(const std::string& name, const Vm& vm);
   // Counts a run that was done or failed, and its VM's part in that.
-  void NoteOutcome(const std::string& name, Job& job, const RunEnd& end,
-                   TimePoint now);
+  void RecordOutcome(const std::string& name, Job& job, const RunEnd& end,
+                     TimePoint now);
   // Takes in how long a step's tasks ran, once it is done.
-  void LearnRunTime(const Job& job, const TaskRef& ref);
+  void RecordRunTime(const Job& job, const TaskRef& ref);
   void ApplyEnd(const std::string& name, Vm& vm, const RunEnd& end,
                 TimePoint now);
   // The same, of an end that the runner still lists.
@@ -234,18 +235,19 @@
                       TimePoint now);
   // Takes in ends that an earlier life of the runner had listed, when its work
   // is not let go yet; they may be told more than once.
-  void ApplyPastEnds(const std::string& name, Vm& vm, const PastLife& past,
-                     TimePoint now);
+  void ApplyPastIncarnationEnds(const std::string& name, Vm& vm,
+                                const PastLife& past, TimePoint now);
   // Returns whether anything that is stored has changed.
-  bool TakeEnd(Vm& vm, const RunEnd& end, TimePoint now);
+  bool RecordEnd(Vm& vm, const RunEnd& end, TimePoint now);
   void ApplyNotBegun(const std::string& name, Vm& vm,
                      const RunNotBegun& refused, TimePoint now);
 
   // In dispatch_commit.cc.
-  // The highest end taken in of each VM where it is not settled yet.
-  EndsByVm UnsettledEnds() const;
+  // The highest end taken in of each VM where it is not acknowledged_end
+  // yet.
+  EndsByVm UnacknowledgedEnds() const;
   // Tells the executors that these ends may be forgotten.
-  void Settle(const EndsByVm& ends);
+  void AcknowledgeEnds(const EndsByVm& ends);
   // Workflows that changed, as far as one transaction holds them.
   void AddProgress(DispatchCommit& commit);
   // Workflows past their retention, in the room that is left.
@@ -256,60 +258,61 @@
                  TimePoint now);
   static const Ticket* TicketFor(const Job& job,
                                  const WorkflowProgress::OpenStep& open,
-                                 const std::string& life, TimePoint now);
+                                 const std::string& incarnation, TimePoint now);
 
   // In dispatch_pressure.cc.
   // The worst tail over its target, by what was learned, if the filler came
   // here and worked at full speed; 0 where nothing serves or is known.
-  double WorstTailRatio(const Vm& vm, const WorkflowStep& filler) const;
-  double PredictTailRatio(const Vm& vm, const WorkflowStep& filler) const;
+  double WorstTailRatio(const Vm& vm, const WorkflowStep& step) const;
+  double PredictTailRatio(const Vm& vm, const WorkflowStep& step) const;
   // Brings what was learned up to date with the newest reports.
-  void RefitPressure();
+  void RefitInterference();
   // Weighs what fillers ask for against what there is for them, and tells
   // executors when that changes how they pace.
   void RefreshPacePolicy(UnixMillis unix_now);
   // What the waiting tasks that fill ask for, of steps that may start.
-  double WaitingFillerCores(UnixMillis unix_now) const;
+  double WaitingBestEffortCores(UnixMillis unix_now) const;
   // What is known of each pair of a serving and a filling image there.
   std::vector<PressureWeight> WeightsOn(const Vm& vm) const;
   void SendWeightsTo(const std::string& name, Vm& vm);
 
   // In dispatch_fillers.cc.
   // Moves fillers off VMs where they get next to nothing.
-  void MoveStarved(TimePoint now);
-  void MoveStarvedOf(const std::string& name, Vm& vm, TimePoint now);
+  void MigrateStarved(TimePoint now);
+  void MigrateStarvedOf(const std::string& name, Vm& vm, TimePoint now);
   // What a filler of that order can expect of the VM's processors, in
   // thousandths of a core. They go to fillers in their order; those before it
   // count by what their pace lets them use.
-  double FreeCpuFor(const Vm& vm, double yield_order) const;
+  double FreeCpuFor(const Vm& vm, double best_effort_rank) const;
   // What a VM's runs are, or the paces of its fillers, has changed.
-  static void ForgetDerived(Vm& vm);
+  static void InvalidateCaches(Vm& vm);
   // Whether the workflow is to be kept going and has nothing at work, so that
   // it gets a run even in a harmful or a full place.
-  static bool NeedsARun(const Job& job);
+  static bool NeedsGuaranteedRun(const Job& job);
   // Whether the processor time that is left over on the VM is enough for the
   // filler, and whether it is expected to be let work. The first run of a
   // workflow that has waited for long needs neither.
-  bool HasRoomToFill(const Vm& vm, const Job& job,
-                     const WorkflowStep& filler) const;
+  bool HasBestEffortRoom(const Vm& vm, const Job& job,
+                         const WorkflowStep& step) const;
   // The fillers that have got next to nothing for a while, the first in their
   // order first.
   std::vector<RunRef> StarvedRuns(Vm& vm, TimePoint now);
   // Adds up the processors of each service's VMs.
-  void RefreshRoom();
+  void RefreshServiceCpu();
   // Notes since when workflows have had nothing at work.
   void RefreshIdle(TimePoint now);
   // Brings the order of fillers up to date, and tells their executors.
-  void RefreshOrder(TimePoint now, UnixMillis unix_now);
+  void RefreshBestEffortRanks(TimePoint now, UnixMillis unix_now);
   // Whether another VM has the room, and disturbs nothing there much.
-  bool HasCalmPlace(const std::string& except, const Job& job,
-                    const WorkflowStep& step, TimePoint now) const;
+  bool HasLowInterferenceVm(const std::string& except, const Job& job,
+                            const WorkflowStep& step, TimePoint now) const;
 
   // In dispatch_layout.cc.
   // What serving tasks and others leave of the VM's processors.
   static double FreeCores(const Vm& vm);
-  void UpdateDemand();
-  bool Harms(const std::string& filling, const std::string& serving) const;
+  void UpdateBestEffortDemand();
+  bool IsHarmfulTo(const std::string& best_effort,
+                   const std::string& serving) const;
   void RefreshLayout(TimePoint now);
   // What fillers lose when a task of the image comes to the VM, and win when
   // all of them leave it; in cores.
@@ -317,13 +320,15 @@
                     int64_t cpu_millis) const;
   double LayoutGain(const Vm& vm, const std::string& image) const;
   // Whether no task of the run's step is away, by anyone's doing.
-  bool AllAtWork(const Job& job, const RunRef& except, TimePoint now) const;
-  std::optional<double> LeastLoss(const std::string& except, const Job& job,
-                                  const WorkflowProgress::OpenStep& at,
-                                  TimePoint now) const;
-  std::optional<Relocation> RelocationOf(const std::string& name, const Vm& vm,
-                                         const std::string& image,
-                                         TimePoint now) const;
+  bool AllTasksRunning(const Job& job, const RunRef& except,
+                       TimePoint now) const;
+  std::optional<double> MinLayoutLoss(const std::string& except, const Job& job,
+                                      const WorkflowProgress::OpenStep& at,
+                                      TimePoint now) const;
+  std::optional<Relocation> PlanRelocation(const std::string& name,
+                                           const Vm& vm,
+                                           const std::string& image,
+                                           TimePoint now) const;
   void RelocateServing(TimePoint now);
   void Relocate(const Relocation& plan, TimePoint now);
 
@@ -333,25 +338,25 @@
   // Moves lasting tasks out of halls that are to be emptied: of each step one
   // at a time, while all others are at work, and only where another VM has the
   // room. What ends by itself goes on.
-  void MoveOutOfHalls(TimePoint now);
+  void EvacuateHalls(TimePoint now);
   // Until when the VM's executor may carry out an order of now, by its clock.
   static TimePoint LatestStart(const Vm& vm, TimePoint now);
 
   // In dispatch_lasting.cc.
   // Keeps room free for lasting tasks that wait, and lets probes pass.
-  void RefreshLasting(TimePoint now);
+  void RefreshLongRunning(TimePoint now);
   // Ends the quarantine of VMs on which a lasting task has stayed at work.
-  void PassLastingProbes(TimePoint now);
+  void PassLongRunningProbes(TimePoint now);
   // Notes which of the job's lasting tasks have waited for too long, and since
   // when it has been without one that ran before.
-  void NoteLastingWaits(Job& job, TimePoint now,
-                        std::vector<LastingWait>& waits);
+  void CollectLongRunningWaits(Job& job, TimePoint now,
+                               std::vector<LongRunningWait>& waits);
   // Keeps a VM's room free for each lasting task that waits for too long.
-  void KeepRoomForLasting(TimePoint now);
-  void KeepRoomFor(const Job& job, const WorkflowStep& step);
+  void ReserveForLongRunning(TimePoint now);
+  void ReserveVmFor(const Job& job, const WorkflowStep& step);
   // Whether the step leaves the VM's room that is kept for a lasting task.
-  bool LeavesKeptRoom(const std::string& name, const Vm& vm,
-                      const WorkflowStep& step) const;
+  bool FitsBesideReservation(const std::string& name, const Vm& vm,
+                             const WorkflowStep& step) const;
   // Runs there that began after the VM's quarantine did.
   size_t ProbesOn(const std::string& name, const Vm& vm) const;
   // Whether the VM's health allows a task of the step there. One that lasts
@@ -362,13 +367,13 @@
   // In dispatch_crashes.cc.
   // Counts the runner's loss against the tasks that had just begun there, and
   // clears the others.
-  void NoteLostRunner(const std::string& name, Vm& vm, const PastLife& lost,
-                      TimePoint now);
+  void RecordLostRunner(const std::string& name, Vm& vm, const PastLife& lost,
+                        TimePoint now);
   // The VM's executor is there, but its runner has been silent until the lease
   // was over: counts that against what had just begun, until more is known.
-  void SuspectUnansweredFor(const std::string& name, const Vm& vm,
-                            TimePoint now);
-  void Suspect(const std::string& name, const RunRef& run, TimePoint now);
+  void SuspectSilentRunner(const std::string& name, const Vm& vm,
+                           TimePoint now);
+  void MarkSuspect(const std::string& name, const RunRef& run, TimePoint now);
   // Clears of suspicion the tasks whose run has outlived its start for long.
   void ClearSuspects(TimePoint now);
   // A place for a suspect: on the VM where its workflow is on trial, which may
@@ -386,23 +391,23 @@
   static bool IsOnTrial(const Vm& vm, TimePoint now);
 
   // In dispatch_placement.cc.
-  void StartWaiting(TimePoint now, UnixMillis unix_now);
+  void StartWaitingTasks(TimePoint now, UnixMillis unix_now);
   // Brings the expected run times of a workflow's steps up to date.
-  void ExpectRunTimes(Job& job) const;
+  void UpdateExpectedRunTimes(Job& job) const;
   // How long the round may take: the queue's part more than its longest chain,
   // in which runs that failed count, and a step that is wide for the service's
   // VMs counts in waves.
-  Duration AllowedFor(const Job& job, uint32_t round) const;
+  Duration LatencyObjectiveOf(const Job& job, uint32_t round) const;
   // In how many waves a step is taken to run.
   int64_t WavesOf(const Job& job, const WorkflowStep& step) const;
   static TimePoint DueOf(const Job& job, uint32_t round, TimePoint now,
                          UnixMillis unix_now);
   static Lateness LatenessOf(const Job& job, uint32_t round, TimePoint now,
                              UnixMillis unix_now);
-  static double OrderOf(const Job& job, uint32_t round, TimePoint now,
-                        UnixMillis unix_now);
+  static double BestEffortRankOf(const Job& job, uint32_t round, TimePoint now,
+                                 UnixMillis unix_now);
   // By the earliest round that is not done.
-  void SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now);
+  void UpdateBestEffortRank(Job& job, TimePoint now, UnixMillis unix_now);
   static TaskTraits TraitsOf(const Job& job, const WorkflowStep& step);
   std::vector<OpenStepRef> ByUrgency(TimePoint now, UnixMillis unix_now);
   void StartStep(Job& job, const WorkflowProgress::OpenStep& open,
@@ -422,22 +427,22 @@
       Job& job, const WorkflowProgress::OpenStep& open, uint64_t run,
       TimePoint now);
   // Whether a step that asks for no more had no room, in this tick.
-  bool HadNoRoom(const std::string& service, const WorkflowStep& step) const;
+  bool FoundNoRoom(const std::string& service, const WorkflowStep& step) const;
   // How many runs of the step the VM holds.
-  static uint32_t HeldOfStep(const Vm& vm, const std::string& workflow,
-                             const WorkflowProgress::OpenStep& open);
+  static uint32_t HeldRunsOfStep(const Vm& vm, const std::string& workflow,
+                                 const WorkflowProgress::OpenStep& open);
   // The cheapest place, or null when there is none.
-  Vm* Choose(const Job& job, const WorkflowStep& step,
-             const WorkflowProgress::OpenStep& open, const std::string& avoid,
-             TimePoint now, std::string* name,
-             const std::optional<std::string>& rack = std::nullopt);
+  Vm* ChooseVm(const Job& job, const WorkflowStep& step,
+               const WorkflowProgress::OpenStep& open, const std::string& avoid,
+               TimePoint now, std::string* name,
+               const std::optional<std::string>& rack = std::nullopt);
   bool Fits(const Vm& vm, const std::string& name, const Job& job,
             const WorkflowStep& step, TimePoint now) const;
   // Whether the task may go there: it fits, and the step allows the VM.
   bool MayHost(const Vm& vm, const std::string& name, const Job& job,
                const WorkflowStep& step, const WorkflowProgress::OpenStep& open,
                TimePoint now) const;
-  double Cost(const Vm& vm, const WorkflowStep& step) const;
+  double PlacementCost(const Vm& vm, const WorkflowStep& step) const;
   void StartOn(const std::string& name, Vm& vm, Job& job, const TaskRef& ref,
                uint64_t run, TimePoint now);
   uint64_t NextRun(const WorkflowProgress::Task& task) const;
@@ -447,32 +452,33 @@
   DecisionHook on_decision_;
   RunLog run_log_;
   TimePoint runs_logged_at_{};
-  TimePoint taken_at_;
-  TimePoint confirmed_at_;
+  TimePoint ownership_taken_at_;
+  TimePoint ownership_confirmed_at_;
   Authority authority_ = Authority::kFull;
-  TimePoint moved_at_{};
-  TimePoint order_refreshed_at_{};
+  TimePoint starved_migrated_at_{};
+  TimePoint ranks_refreshed_at_{};
   TimePoint idle_refreshed_at_{};
-  TimePoint layout_at_{};
-  TimePoint lasting_refreshed_at_{};
+  TimePoint layout_refreshed_at_{};
+  TimePoint long_running_refreshed_at_{};
   Evacuations evacuations_;
-  TimePoint moved_out_at_{};
+  TimePoint halls_evacuated_at_{};
   // By VM: the room there that is kept for a lasting task.
-  std::map<std::string, Resources> kept_room_;
+  std::map<std::string, Resources> reserved_capacity_;
   ServingLayout layout_;
-  ServingLayout::Demands filler_demand_;
+  ServingLayout::Demands image_demand_;
   std::map<std::string, Duration> tail_targets_;  // By serving image.
 
   std::map<std::string, std::unique_ptr<Job>> jobs_;
   std::map<std::string, Vm> vms_;
-  std::map<std::string, int64_t> room_;  // Processors of a service's VMs.
-  std::set<std::string> unaccounted_;
+  std::map<std::string, int64_t>
+      service_cpu_;  // Processors of a service's VMs.
+  std::set<std::string> unreconciled_;
   // Tasks that may take runners down.
   std::set<TaskRef> suspects_;
   TimePoint suspects_cleared_at_{};
   WorkerHealth health_;
   RunTimes run_times_;
-  FillerLoad filler_load_;
+  FillerLoad best_effort_load_;
   PairwiseInterference interference_;
   uint64_t interference_version_ = 1;
   // By serving and filling image: what the log was told last.
@@ -482,10 +488,10 @@
   std::vector<std::pair<std::string, WorkflowStep>> no_room_;
 
   std::set<std::string> dirty_;
-  bool commit_out_ = false;
+  bool commit_in_flight_ = false;
   std::vector<std::string> in_commit_;
   std::vector<std::string> forgetting_;
-  EndsByVm settling_;  // What the commit in flight makes durable.
+  EndsByVm acknowledging_;  // What the commit in flight makes durable.
 
   // Starts of the current tick, by VM and step.
   std::map<std::pair<std::string, TaskRef>, StartRuns> starts_;
