--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -260,7 +260,7 @@
                                  const WorkflowProgress::OpenStep& open,
                                  const std::string& incarnation, TimePoint now);
 
-  // In dispatch_pressure.cc.
+  // In dispatch_interference.cc.
   // The worst tail over its target, by what was learned, if the filler came
   // here and worked at full speed; 0 where nothing serves or is known.
   double WorstTailRatio(const Vm& vm, const WorkflowStep& step) const;
@@ -276,7 +276,7 @@
   std::vector<PressureWeight> WeightsOn(const Vm& vm) const;
   void SendWeightsTo(const std::string& name, Vm& vm);
 
-  // In dispatch_fillers.cc.
+  // In dispatch_best_effort.cc.
   // Moves fillers off VMs where they get next to nothing.
   void MigrateStarved(TimePoint now);
   void MigrateStarvedOf(const std::string& name, Vm& vm, TimePoint now);
@@ -342,7 +342,7 @@
   // Until when the VM's executor may carry out an order of now, by its clock.
   static TimePoint LatestStart(const Vm& vm, TimePoint now);
 
-  // In dispatch_lasting.cc.
+  // In dispatch_long_running.cc.
   // Keeps room free for lasting tasks that wait, and lets probes pass.
   void RefreshLongRunning(TimePoint now);
   // Ends the quarantine of VMs on which a lasting task has stayed at work.
