--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -37,7 +37,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         const bool calm = vm == calm_vm;
         const Duration tail = milliseconds(calm ? 6 : 6 + cpu / 100);
-        dispatcher_->OnPressure(
+        dispatcher_->OnInterference(
             vm, {2, {{calm ? "calm" : "touchy", tail}}, {{"f", cpu, 100}}});
       }
     }
@@ -169,8 +169,8 @@
     for (const char* vm : {"vm-1", "vm-2"}) {
       dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
     }
-    dispatcher_->OnPressure(other,
-                            {2, {{"touchy", milliseconds(25)}}, {{"f", 0, 0}}});
+    dispatcher_->OnInterference(
+        other, {2, {{"touchy", milliseconds(25)}}, {{"f", 0, 0}}});
     dispatcher_->Tick(now_, kUnix);
   }
   EXPECT_THAT(Take().stops, Contains(std::pair(other, starts[0].second)));
@@ -192,7 +192,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
       }
-      dispatcher_->OnPressure(
+      dispatcher_->OnInterference(
           "vm-1", {2, {{"touchy", milliseconds(25)}}, {{"f", 0, 0}}});
       dispatcher_->Tick(now_, kUnix);
     }
@@ -219,7 +219,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
       }
-      dispatcher_->OnPressure(
+      dispatcher_->OnInterference(
           other, {2, {{"touchy", milliseconds(25)}}, {{"f", 0, 0}}});
       dispatcher_->Tick(now_, kUnix);
     }
@@ -269,12 +269,12 @@
   for (int i = 0; i < 60; ++i) {
     const int64_t cpu = (i % 4) * 1000;
     const Duration harmed = milliseconds(6 + cpu / 100);
-    dispatcher_->OnPressure(mixed,
-                            {2,
-                             {{"calm", milliseconds(6)}, {"touchy", harmed}},
-                             {{"f", cpu, 100}}});
-    dispatcher_->OnPressure(other,
-                            {2, {{"tender", harmed}}, {{"f", cpu, 100}}});
+    dispatcher_->OnInterference(
+        mixed, {2,
+                {{"calm", milliseconds(6)}, {"touchy", harmed}},
+                {{"f", cpu, 100}}});
+    dispatcher_->OnInterference(other,
+                                {2, {{"tender", harmed}}, {{"f", cpu, 100}}});
   }
   Workflow filling = Filler();
   filling.steps[0].tasks = 20;
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -87,7 +87,7 @@
   owner->Tick(kStart, kUnix);
   for (int round = 0; round < 15; ++round) {
     for (int64_t i = 0; i < vms; ++i) {
-      owner->OnPressure(NameOf("vm-", i), PressureOf(i));
+      owner->OnInterference(NameOf("vm-", i), PressureOf(i));
     }
   }
   for (int64_t i = 0; i < vms; ++i) {
@@ -112,7 +112,7 @@
   int64_t vm = 0;
   for (auto _ : state) {
     const int64_t at = vm++ % state.range(0);
-    owner->OnPressure(NameOf("vm-", at), PressureOf(at));
+    owner->OnInterference(NameOf("vm-", at), PressureOf(at));
   }
 }
 BENCHMARK(BM_Pressure)->Arg(240);
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -195,7 +195,7 @@
       return;
     }
     if (const auto* pressure = std::get_if<VmPressure>(&message)) {
-      Timed("pressure", [&] { owner_->OnPressure(name, *pressure); });
+      Timed("pressure", [&] { owner_->OnInterference(name, *pressure); });
       return;
     }
     if (const auto* inventory = std::get_if<VmInventory>(&message)) {
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -125,7 +125,7 @@
   } else if (const auto* reports = std::get_if<RunReports>(&message)) {
     dispatcher_->OnReports(vm, *reports, now);
   } else if (const auto* pressure = std::get_if<VmPressure>(&message)) {
-    dispatcher_->OnPressure(vm, *pressure);
+    dispatcher_->OnInterference(vm, *pressure);
     return;
   } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
     if (!dispatcher_->OnInventory(vm, *inventory, now)) {
