--- a/beamhill/dispatch/dispatch_interference.cc
+++ b/beamhill/dispatch/dispatch_interference.cc
@@ -86,7 +86,7 @@
   RefitInterference();
 }
 
-void Dispatcher::SendWeights() {
+void Dispatcher::SendInterferenceWeights() {
   // They would be out of date once they leave.
   if (authority_ == Authority::kNone) return;
   for (auto& [name, vm] : vms_) {
--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -126,7 +126,7 @@
   const std::string calm_vm = ServeCalmAndTouchy();
   Teach(calm_vm);
   dispatcher_->TakeMessages();
-  dispatcher_->SendWeights();
+  dispatcher_->SendInterferenceWeights();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));  // Nothing fills yet.
 
   dispatcher_->AddWorkflow(Filler(), std::nullopt, now_);
@@ -139,7 +139,7 @@
   ASSERT_THAT(told->weights, SizeIs(1));
   EXPECT_EQ(told->weights[0].serving, "calm");
 
-  dispatcher_->SendWeights();
+  dispatcher_->SendInterferenceWeights();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));
 }
 
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -125,7 +125,7 @@
 
   // Tells VMs what was learned of the images that stand there, as far as they
   // don't know it yet.
-  void SendWeights();
+  void SendInterferenceWeights();
 
   // Pairs whose weight has changed since they were last taken, for the log: the
   // first so many of those that moved most.
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -64,7 +64,7 @@
     for (uint32_t i = 0; i < load_.vms; ++i) AddVm(i);
     Repeat(kOwnerTick, [this] { Tick(); });
     Repeat(kWeightsInterval, [this] {
-      Timed("weights", [this] { owner_->SendWeights(); });
+      Timed("weights", [this] { owner_->SendInterferenceWeights(); });
       Flush();
     });
     Repeat(kWorkStep, [this] {
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -161,7 +161,7 @@
   notice_scan_ =
       loop_.Every(options_.notice_scan_interval, [this] { ScanNotices(); });
   summary_ = loop_.Every(kSummaryInterval, [this] {
-    dispatcher_->SendWeights();
+    dispatcher_->SendInterferenceWeights();
     Flush();
     LogSummary();
   });
