--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-std::vector<PressureWeight> Dispatcher::TakeNews(size_t limit) {
+std::vector<PressureWeight> Dispatcher::TakeChangedWeights(size_t limit) {
   std::vector<std::pair<Duration, PressureWeight>> news;
   for (const auto& weight : interference_.Weights()) {
     const auto told = logged_weights_.find({weight.serving, weight.filler});
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -129,7 +129,7 @@
 
   // Pairs whose weight has changed since they were last taken, for the log: the
   // first so many of those that moved most.
-  std::vector<PressureWeight> TakeNews(size_t limit);
+  std::vector<PressureWeight> TakeChangedWeights(size_t limit);
 
   // Lets lapsed work go and starts what can start. Lines about runs go to the
   // hook some times a second.
