--- a/beamhill/dispatch/dispatch_interference.cc
+++ b/beamhill/dispatch/dispatch_interference.cc
@@ -62,7 +62,7 @@
   }
 }
 
-PressureRecord Dispatcher::LearnedPressure() const {
+PressureRecord Dispatcher::LearnedInterference() const {
   PressureRecord record;
   for (const auto& summary : interference_.Summaries()) {
     PressureRecord::Image image{summary.serving, summary.alone, {}};
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -324,7 +324,7 @@
   if (now - pressure_stored_at_ >= kStorePressureInterval) {
     pressure_stored_at_ = now;
     writes.push_back({rows::kPressure, kAnyVersion,
-                      EncodeRecord(dispatcher_->LearnedPressure())});
+                      EncodeRecord(dispatcher_->LearnedInterference())});
   }
   constexpr size_t kMaxWrites = 98;  // Of 100; one is the owner's row.
   while (!stale_markers_.empty() && writes.size() < kMaxWrites) {
