--- a/beamhill/dispatch/dispatch_interference.cc
+++ b/beamhill/dispatch/dispatch_interference.cc
@@ -74,7 +74,7 @@
   return record;
 }
 
-void Dispatcher::RecallPressure(const PressureRecord& record) {
+void Dispatcher::RestoreInterference(const PressureRecord& record) {
   for (const PressureRecord::Image& image : record.images) {
     PairwiseInterference::Summary summary{image.serving, image.alone, {}};
     for (const PressureWeight& weight : image.weights) {
--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -147,7 +147,7 @@
   Teach(ServeCalmAndTouchy());
   const PressureRecord learned = dispatcher_->LearnedInterference();
   const std::string calm_vm = ServeCalmAndTouchy();
-  dispatcher_->RecallPressure(learned);
+  dispatcher_->RestoreInterference(learned);
   dispatcher_->AddWorkflow(Filler(), std::nullopt, now_);
   const auto starts = Tick().starts;
   ASSERT_THAT(starts, SizeIs(1));
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -121,7 +121,7 @@
   // What was learned of pressure, to be stored; and what an earlier owner
   // stored.
   PressureRecord LearnedInterference() const;
-  void RecallPressure(const PressureRecord& record);
+  void RestoreInterference(const PressureRecord& record);
 
   // Tells VMs what was learned of the images that stand there, as far as they
   // don't know it yet.
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -146,7 +146,7 @@
   }
   for (const Row& row : loading.found.at(rows::kLearned)) {
     const auto learned = DecodeRecord<PressureRecord>(row.value);
-    if (IsOk(learned)) dispatcher_->RecallPressure(ValueOf(learned));
+    if (IsOk(learned)) dispatcher_->RestoreInterference(ValueOf(learned));
   }
   Log(LogLevel::kInfo, "owner_loaded",
       {{"epoch", options_.epoch},
