--- a/beamhill/dispatch/dispatch_authority_test.cc
+++ b/beamhill/dispatch/dispatch_authority_test.cc
@@ -85,7 +85,7 @@
   Take({});
   Have(Authority::kNone);
   dispatcher_->OnLinkUp("vm-1");
-  for (int i = 0; i < 100; ++i) dispatcher_->AttachAgain();
+  for (int i = 0; i < 100; ++i) dispatcher_->RetryAttach();
   Have(Authority::kFull);
   EXPECT_EQ(AttachesTo("vm-1"), 1);
 }
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -183,7 +183,7 @@
   Send(vm, Attach{"", options_.epoch});
 }
 
-void Dispatcher::AttachAgain() {
+void Dispatcher::RetryAttach() {
   for (const auto& [name, vm] : vms_) {
     if (vm.linked && !vm.has_inventory) SendAttach(name);
   }
@@ -195,7 +195,7 @@
   if (authority == Authority::kNone) {
     WithdrawStarts(now);
   } else if (had_none) {
-    AttachAgain();
+    RetryAttach();
   }
 }
 
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -84,7 +84,7 @@
   void OnVmSilent(const std::string& vm);
   // Asks VMs that are linked and have not has_inventory once more; to be called
   // some seconds apart.
-  void AttachAgain();
+  void RetryAttach();
   // The executor's heartbeat; has_inventory with a lease when the VM may run
   // work.
   void OnHeartbeat(const std::string& vm, const VmHeartbeat& beat,
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -15,11 +15,11 @@
   Take({});
   dispatcher_->OnLinkUp("vm-1");
   dispatcher_->TakeMessages();
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(1));
   Answer("vm-1");
   dispatcher_->TakeMessages();
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));
 }
 
--- a/beamhill/replay/outage_replay.cc
+++ b/beamhill/replay/outage_replay.cc
@@ -46,7 +46,7 @@
     TakeOver();
     Repeat(kOwnerTick, [this] { Tick(); });
     Repeat(kAttachInterval, [this] {
-      owner_->AttachAgain();
+      owner_->RetryAttach();
       Flush();
     });
     Repeat(kRunnerTick, [this] {
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -35,7 +35,7 @@
 }  // namespace
 
 void WorkOwner::ScanVms() {
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   Flush();
   if (scanning_vms_) return;
   scanning_vms_ = true;
