--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -10,7 +10,7 @@
 // Maximum number of runners per request: the advisor takes time for each.
 constexpr size_t kRunnersPerRequest = 30;
 // Delay after a request that was not answered, or that allowed no runner.
-constexpr Duration kAdviceRetryDelay = std::chrono::milliseconds(400);
+constexpr Duration kAdviceBackOff = std::chrono::milliseconds(400);
 // Minimum validity left of a ticket that is used. A start order reaches its
 // runner within a few milliseconds.
 constexpr Duration kMinTicketTime = std::chrono::milliseconds(150);
@@ -34,18 +34,16 @@
   const Workflow& workflow = job.progress.workflow();
   if (!workflow.policy.needs_advice) return true;
   StepAdvice& advice = job.advice[{open.round, open.step}];
-  std::vector<std::string> without_ticket;
+  std::vector<std::string> runners;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
     if (TicketFor(job, open, vm.status.life, now) != nullptr) return true;
-    if (without_ticket.size() < kRunnersPerRequest)
-      without_ticket.push_back(vm.status.life);
+    if (runners.size() < kRunnersPerRequest) runners.push_back(vm.status.life);
   }
-  if (!advice.request_pending && now >= advice.next_request_at &&
-      !without_ticket.empty()) {
+  if (!advice.request_pending && now >= advice.retry_at && !runners.empty()) {
     advice.request_pending = true;
     advice_requests_.push_back(
-        {{workflow.id, open.round, open.step, 0}, std::move(without_ticket)});
+        {{workflow.id, open.round, open.step, 0}, std::move(runners)});
   }
   return false;
 }
@@ -58,10 +56,9 @@
                           const std::optional<Advice>& advice, TimePoint now) {
   Job* job = Find(step.workflow);
   if (job == nullptr) return;
-  StepAdvice& step_advice = job->advice[{step.round, step.step}];
-  step_advice.request_pending = false;
-  if (!advice || advice->tickets.empty())
-    step_advice.next_request_at = now + kAdviceRetryDelay;
+  StepAdvice& state = job->advice[{step.round, step.step}];
+  state.request_pending = false;
+  if (!advice || advice->tickets.empty()) state.retry_at = now + kAdviceBackOff;
   LogDecision(step.workflow, "advice",
               step.ToString() + ": " +
                   (advice ? std::to_string(advice->tickets.size()) + " runners"
@@ -69,7 +66,7 @@
   if (!advice) return;
   const Duration ticket_lifetime = job->progress.workflow().policy.ticket_life;
   for (const auto& [incarnation, text] : advice->tickets) {
-    step_advice.tickets[incarnation] = {text, now + ticket_lifetime};
+    state.tickets[incarnation] = {text, now + ticket_lifetime};
   }
 }
 
--- a/beamhill/dispatch/dispatch_best_effort.cc
+++ b/beamhill/dispatch/dispatch_best_effort.cc
@@ -210,7 +210,7 @@
   }
   for (auto& [name, vm] : vms_) {
     vm.cold = vm.cold && now < vm.warm_at;
-    RunTraitsList changed{options_.epoch, vm.status.life, {}};
+    RunTraitsList update{options_.epoch, vm.status.life, {}};
     for (auto& [run, held] : vm.held) {
       const Job* job =
           held.best_effort_cpu > 0 ? Find(run.task.workflow) : nullptr;
@@ -221,10 +221,9 @@
       held.best_effort_rank = job->best_effort_rank;
       vm.best_effort_sums.valid = false;
       const WorkflowStep& step = job->progress.workflow().steps[run.task.step];
-      changed.runs.push_back({run, TraitsOf(*job, step)});
+      update.runs.push_back({run, TraitsOf(*job, step)});
     }
-    if (vm.has_inventory && !changed.runs.empty())
-      Send(name, std::move(changed));
+    if (vm.has_inventory && !update.runs.empty()) Send(name, std::move(update));
   }
 }
 
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -20,11 +20,10 @@
 void Dispatcher::AcknowledgeEnds(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.life != end.first || vm.acknowledged_end >= end.second)
-      continue;
+    if (vm.status.life != end.first || vm.acked_end >= end.second) continue;
     // Sent later, once the VM is reachable.
     if (!vm.linked || !vm.has_inventory) continue;
-    vm.acknowledged_end = end.second;
+    vm.acked_end = end.second;
     Send(name, EndsSettled{options_.epoch, end.first, end.second});
   }
 }
@@ -32,8 +31,7 @@
 Dispatcher::EndsByVm Dispatcher::UnacknowledgedEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.applied_end > vm.acknowledged_end)
-      ends[name] = {vm.status.life, vm.applied_end};
+    if (vm.last_end > vm.acked_end) ends[name] = {vm.status.life, vm.last_end};
   }
   return ends;
 }
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -17,7 +17,7 @@
 constexpr double kHarmfulTailCost = 5;
 // Costs of bringing a serving image to a VM where nothing serves, and to one
 // where only other images do. Differences in load cost at most 1.
-constexpr double kFirstServingCost = 3;
+constexpr double kNewServingCost = 3;
 constexpr double kMixedServingCost = 2;
 // Cost per core that best-effort tasks lose.
 constexpr double kLayoutCostPerCore = 2;
@@ -26,7 +26,7 @@
 constexpr double kOtherRackCost = 4;
 constexpr double kAvoidedVmCost = 8;
 // Cost of a VM whose runner is still warming up: no more than
-// kFirstServingCost, as it is temporary.
+// kNewServingCost, as it is temporary.
 constexpr double kColdVmCost = 3;
 // Work that ends after this multiple of its objective has no value left.
 constexpr int kLateFactor = 3;
@@ -312,8 +312,7 @@
   if (step.tail_target > Duration(0)) {
     const double loss =
         kLayoutCostPerCore * LayoutLoss(vm, step.image, step.each.cpu_millis);
-    if (vm.serving.empty())
-      return loss + kFirstServingCost + best_effort / whole;
+    if (vm.serving.empty()) return loss + kNewServingCost + best_effort / whole;
     const double mixing =
         vm.serving.count(step.image) > 0 ? 0 : kMixedServingCost;
     return loss + mixing + (best_effort - used) / whole;
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -198,8 +198,8 @@
     }
     vm.trial.reset();
     vm.not_before = TimePoint{};
-    vm.applied_end = 0;
-    vm.acknowledged_end = 0;
+    vm.last_end = 0;
+    vm.acked_end = 0;
   }
   vm.status = status;
   UpdateWarmUp(vm, now);
@@ -306,8 +306,8 @@
 
 void Dispatcher::ApplyEnd(const std::string& name, Vm& vm, const RunEnd& end,
                           TimePoint now) {
-  if (end.number <= vm.applied_end) return;
-  vm.applied_end = end.number;
+  if (end.number <= vm.last_end) return;
+  vm.last_end = end.number;
   Job* job = Find(end.run.task.workflow);
   if (job != nullptr && job->progress.Has(end.run.task)) {
     RecordOutcome(name, *job, end, now);
@@ -323,8 +323,7 @@
   // An end that is still listed has not been acknowledged, whatever was sent.
   // An end that could not be applied must never be acknowledged.
   const bool applied = vm.held.count(end.run) == 0;
-  if (applied)
-    vm.acknowledged_end = std::min(vm.acknowledged_end, end.number - 1);
+  if (applied) vm.acked_end = std::min(vm.acked_end, end.number - 1);
 }
 
 // Skips kinds of ends other than done and failed: their checkpoints may be
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -190,6 +190,7 @@
   bool IsPastAndConfirmed(TimePoint bound, TimePoint now) const;
 
   // In dispatch_runs.cc.
+  // Hold reserves the run's resources on the VM, Release frees them.
   void Hold(Vm& vm, const RunRef& run, Job& job, const WorkflowStep& step);
   void Release(Vm& vm, const RunRef& run);
   void StopAllOf(Job& job, TimePoint now);
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -38,7 +38,7 @@
 // What the placement advisor has answered for one step.
 struct StepAdvice {
   bool request_pending = false;  // A request awaits its answer.
-  TimePoint next_request_at{};
+  TimePoint retry_at{};
   std::map<std::string, Ticket> tickets;  // By runner incarnation.
 };
 
@@ -164,8 +164,8 @@
   std::map<std::string, int64_t> best_effort;
   std::map<std::string, int32_t> paces;  // Percent, by best-effort image.
   int64_t best_effort_cpu_in_use = 0;
-  uint64_t applied_end = 0;       // Highest end applied, of this incarnation.
-  uint64_t acknowledged_end = 0;  // Highest end acknowledged as durable.
+  uint64_t last_end = 0;   // Highest end applied, of this incarnation.
+  uint64_t acked_end = 0;  // Highest end acknowledged as durable.
   // Caches, filled on demand and cleared when their inputs change: each start
   // evaluates hundreds of VMs.
   mutable BestEffortCpuSums best_effort_sums;
