--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -1,5 +1,5 @@
-// The part of Dispatcher that heeds a placement advisor: an outside policy
-// that lets only some runners run a step, and hands out tickets for them.
+// Dispatcher: follows the placement advisor, an external policy that allows
+// only some runners for a step and issues tickets for them.
 #include <utility>
 
 #include "beamhill/dispatch/dispatcher.h"
@@ -7,43 +7,43 @@
 namespace beamhill {
 namespace {
 
-// Runners that one question names: the advisor takes time for each.
-constexpr size_t kAskedAtOnce = 30;
-// After a question without an answer, or one that let nobody run the step.
-constexpr Duration kAskAgain = std::chrono::milliseconds(400);
-// A ticket is used only while so much of its time is left; an order takes a
-// few milliseconds to its runner.
-constexpr Duration kLeastTicket = std::chrono::milliseconds(150);
+// Maximum number of runners per request: the advisor takes time for each.
+constexpr size_t kRunnersPerRequest = 30;
+// Delay after a request that was not answered, or that allowed no runner.
+constexpr Duration kAdviceBackOff = std::chrono::milliseconds(400);
+// Minimum validity left of a ticket that is used. A start order reaches its
+// runner within a few milliseconds.
+constexpr Duration kMinTicketTime = std::chrono::milliseconds(150);
 
 }  // namespace
 
 const Dispatcher::Ticket* Dispatcher::TicketFor(
     const Job& job, const WorkflowProgress::OpenStep& open,
-    const std::string& life, TimePoint now) {
+    const std::string& incarnation, TimePoint now) {
   const auto advice = job.advice.find({open.round, open.step});
   if (advice == job.advice.end()) return nullptr;
-  const auto it = advice->second.tickets.find(life);
+  const auto it = advice->second.tickets.find(incarnation);
   if (it == advice->second.tickets.end()) return nullptr;
-  return it->second.until - now >= kLeastTicket ? &it->second : nullptr;
+  return it->second.expires_at - now >= kMinTicketTime ? &it->second : nullptr;
 }
 
-// Whether the step's tasks may be placed now. Where tickets are needed and no
-// runner with room has a good one, asks for them.
+// Returns whether the step's tasks may be placed now. If tickets are needed and
+// no runner with room has a valid one, requests advice.
 bool Dispatcher::HasAdvice(Job& job, const WorkflowProgress::OpenStep& open,
                            TimePoint now) {
   const Workflow& workflow = job.progress.workflow();
   if (!workflow.policy.needs_advice) return true;
   StepAdvice& advice = job.advice[{open.round, open.step}];
-  std::vector<std::string> without;
+  std::vector<std::string> runners;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
     if (TicketFor(job, open, vm.status.life, now) != nullptr) return true;
-    if (without.size() < kAskedAtOnce) without.push_back(vm.status.life);
+    if (runners.size() < kRunnersPerRequest) runners.push_back(vm.status.life);
   }
-  if (!advice.asked && now >= advice.ask_after && !without.empty()) {
-    advice.asked = true;
+  if (!advice.request_pending && now >= advice.retry_at && !runners.empty()) {
+    advice.request_pending = true;
     advice_requests_.push_back(
-        {{workflow.id, open.round, open.step, 0}, std::move(without)});
+        {{workflow.id, open.round, open.step, 0}, std::move(runners)});
   }
   return false;
 }
@@ -56,18 +56,18 @@
                           const std::optional<Advice>& advice, TimePoint now) {
   Job* job = Find(step.workflow);
   if (job == nullptr) return;
-  StepAdvice& known = job->advice[{step.round, step.step}];
-  known.asked = false;
-  if (!advice || advice->tickets.empty()) known.ask_after = now + kAskAgain;
-  Decide(step.workflow, "advice",
-         step.ToString() + ": " +
-             (advice ? std::to_string(advice->tickets.size()) + " runners"
-                     : "none came"));
+  StepAdvice& state = job->advice[{step.round, step.step}];
+  state.request_pending = false;
+  if (!advice || advice->tickets.empty()) state.retry_at = now + kAdviceBackOff;
+  LogDecision(step.workflow, "advice",
+              step.ToString() + ": " +
+                  (advice ? std::to_string(advice->tickets.size()) + " runners"
+                          : "no answer"));
   if (!advice) return;
-  const Duration life_of_ticket =
+  const Duration ticket_lifetime =
       job->progress.workflow().policy.ticket_lifetime;
-  for (const auto& [life, text] : advice->tickets) {
-    known.tickets[life] = {text, now + life_of_ticket};
+  for (const auto& [incarnation, text] : advice->tickets) {
+    state.tickets[incarnation] = {text, now + ticket_lifetime};
   }
 }
 
--- a/beamhill/dispatch/dispatch_authority_test.cc
+++ b/beamhill/dispatch/dispatch_authority_test.cc
@@ -89,7 +89,7 @@
   TakeOwnership({});
   SetAuthority(Authority::kNone);
   dispatcher_->OnLinkUp("vm-1");
-  for (int i = 0; i < 100; ++i) dispatcher_->AttachAgain();
+  for (int i = 0; i < 100; ++i) dispatcher_->RetryAttach();
   SetAuthority(Authority::kFull);
   EXPECT_EQ(CountAttaches("vm-1"), 1);
 }
--- a/beamhill/dispatch/dispatch_interference_test.cc
+++ b/beamhill/dispatch/dispatch_interference_test.cc
@@ -40,7 +40,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         const bool insensitive = vm == insensitive_vm;
         const Duration tail = milliseconds(insensitive ? 6 : 6 + cpu / 100);
-        dispatcher_->OnPressure(
+        dispatcher_->OnInterference(
             vm, {2,
                  {{insensitive ? "insensitive" : "sensitive", tail}},
                  {{"f", cpu, 100}}});
@@ -136,7 +136,7 @@
   const std::string insensitive_vm = ServeInsensitiveAndSensitive();
   LearnInterference(insensitive_vm);
   dispatcher_->TakeMessages();
-  dispatcher_->SendWeights();
+  dispatcher_->SendInterferenceWeights();
   // No best-effort task runs yet.
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));
 
@@ -150,15 +150,15 @@
   ASSERT_THAT(weights->weights, SizeIs(1));
   EXPECT_EQ(weights->weights[0].serving, "insensitive");
 
-  dispatcher_->SendWeights();
+  dispatcher_->SendInterferenceWeights();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));
 }
 
 TEST_F(DispatcherInterferenceTest, NextOwnerRestoresLearnedInterference) {
   LearnInterference(ServeInsensitiveAndSensitive());
-  const PressureRecord learned = dispatcher_->LearnedPressure();
+  const PressureRecord learned = dispatcher_->LearnedInterference();
   const std::string insensitive_vm = ServeInsensitiveAndSensitive();
-  dispatcher_->RecallPressure(learned);
+  dispatcher_->RestoreInterference(learned);
   dispatcher_->AddWorkflow(BestEffortWorkflow(), std::nullopt, now_);
   const auto starts = Tick().starts;
   ASSERT_THAT(starts, SizeIs(1));
@@ -181,7 +181,7 @@
     for (const char* vm : {"vm-1", "vm-2"}) {
       dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
     }
-    dispatcher_->OnPressure(
+    dispatcher_->OnInterference(
         other, {2, {{"sensitive", milliseconds(25)}}, {{"f", 0, 0}}});
     dispatcher_->Tick(now_, kUnixNow);
   }
@@ -205,7 +205,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
       }
-      dispatcher_->OnPressure(
+      dispatcher_->OnInterference(
           "vm-1", {2, {{"sensitive", milliseconds(25)}}, {{"f", 0, 0}}});
       dispatcher_->Tick(now_, kUnixNow);
     }
@@ -233,7 +233,7 @@
       for (const char* vm : {"vm-1", "vm-2"}) {
         dispatcher_->OnHeartbeat(vm, {2, now_}, now_);
       }
-      dispatcher_->OnPressure(
+      dispatcher_->OnInterference(
           other, {2, {{"sensitive", milliseconds(25)}}, {{"f", 0, 0}}});
       dispatcher_->Tick(now_, kUnixNow);
     }
@@ -286,11 +286,11 @@
   for (int i = 0; i < 60; ++i) {
     const int64_t cpu = (i % 4) * 1000;
     const Duration raised_tail = milliseconds(6 + cpu / 100);
-    dispatcher_->OnPressure(shared_vm, {2,
-                                        {{"insensitive", milliseconds(6)},
-                                         {"sensitive", raised_tail}},
-                                        {{"f", cpu, 100}}});
-    dispatcher_->OnPressure(
+    dispatcher_->OnInterference(shared_vm, {2,
+                                            {{"insensitive", milliseconds(6)},
+                                             {"sensitive", raised_tail}},
+                                            {{"f", cpu, 100}}});
+    dispatcher_->OnInterference(
         other, {2, {{"lone_sensitive", raised_tail}}, {{"f", cpu, 100}}});
   }
   Workflow workflow = BestEffortWorkflow();
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -1,4 +1,4 @@
-// The part of Dispatcher that decides what starts next, and where.
+// Dispatcher: chooses which tasks start next, and on which VM.
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -9,32 +9,32 @@
 namespace beamhill {
 namespace {
 
-// Bounds the time that one tick takes; the next one goes on.
+// Bounds the duration of a tick; the rest starts in the next one.
 constexpr uint64_t kMaxStartsPerTick = 200;
-// A VM gets no starts when its lease has less than this left: the start
-// would be refused, or cut short at once.
-constexpr Duration kLeastLease = std::chrono::milliseconds(800);
-constexpr double kHarmCost = 5;
-// What it costs to bring a serving image to a VM where nothing serves, and to
-// one where only others do; against differences in load of at most 1.
-constexpr double kNewToServing = 3;
-constexpr double kMixing = 2;
-// And for each core that fillers lose by it, once that is known.
-constexpr double kLayoutCost = 2;
-// What it costs to be in another rack than the data, and on the VM where the
-// task failed; these outweigh any difference in load.
-constexpr double kOtherRack = 4;
-constexpr double kAvoided = 8;
-// And on a VM whose runner is slow after its start: as for a VM where nothing
-// serves, since it passes.
-constexpr double kCold = 3;
-// What ends later than this many times its objective earns nothing.
+// A VM needs this much of its lease left: a start would be refused or soon cut
+// short otherwise.
+constexpr Duration kMinLeaseTime = std::chrono::milliseconds(800);
+constexpr double kHarmfulTailCost = 5;
+// Costs of bringing a serving image to a VM where nothing serves, and to one
+// where only other images do. Differences in load cost at most 1.
+constexpr double kNewServingCost = 3;
+constexpr double kMixedServingCost = 2;
+// Cost per core that best-effort tasks lose.
+constexpr double kLayoutCostPerCore = 2;
+// Costs of another rack than that of the data, and of the VM where the task
+// last failed. They outweigh any difference in load.
+constexpr double kOtherRackCost = 4;
+constexpr double kAvoidedVmCost = 8;
+// Cost of a VM whose runner is still warming up: no more than
+// kNewServingCost, as it is temporary.
+constexpr double kColdVmCost = 3;
+// Work that ends after this multiple of its objective has no value left.
 constexpr int kLateFactor = 3;
-// A step that asks for more than this part of a service's processors is taken
-// to run in waves of that size: the users count its objective so.
-constexpr int64_t kWavesOfRoom = 4;
-// Runs of an owner are numbered from its epoch times this, so that they are
-// above those of earlier owners without any record of them.
+// A step that asks for more than 1/4 of a service's processors is assumed to
+// run in waves of that size. Users count its objective in the same way.
+constexpr int64_t kWaveDivisor = 4;
+// Run numbers start at the epoch times this, so that they exceed those of
+// earlier owners without a stored counter.
 constexpr uint64_t kRunsPerEpoch = 1000;
 
 }  // namespace
@@ -45,14 +45,15 @@
 }
 
 int64_t Dispatcher::WavesOf(const Job& job, const WorkflowStep& step) const {
-  const auto room = room_.find(job.progress.workflow().service);
-  const int64_t wave = room == room_.end() ? 0 : room->second / kWavesOfRoom;
+  const auto room = service_cpu_.find(job.progress.workflow().service);
+  const int64_t wave =
+      room == service_cpu_.end() ? 0 : room->second / kWaveDivisor;
   if (wave == 0) return 1;
   const int64_t wide = step.each.cpu_millis * step.tasks;
   return std::max<int64_t>(1, (wide + wave - 1) / wave);
 }
 
-void Dispatcher::ExpectRunTimes(Job& job) const {
+void Dispatcher::UpdateExpectedRunTimes(Job& job) const {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t i = 0; i < workflow.steps.size(); ++i) {
     const Duration declared = workflow.steps[i].declared_run;
@@ -61,7 +62,7 @@
   }
 }
 
-Duration Dispatcher::AllowedFor(const Job& job, uint32_t round) const {
+Duration Dispatcher::LatencyObjectiveOf(const Job& job, uint32_t round) const {
   const Workflow& workflow = job.progress.workflow();
   const Duration chain = CriticalPath(workflow, [&](size_t number) {
     const WorkflowStep& step = workflow.steps[number];
@@ -74,47 +75,48 @@
          workflow.policy.target_latency;
 }
 
-// When a round's objective ends. A round with a due time counts from there.
+// When the round's objective ends. Rounds with a due time count from there.
 TimePoint Dispatcher::DueOf(const Job& job, uint32_t round, TimePoint now,
                             UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
-  if (workflow.repetitions == 0) return job.added_at + job.allowed;
+  if (workflow.repetitions == 0) return job.added_at + job.objective;
   const UnixMillis began = workflow.first_due + round * workflow.interval;
-  return now + (began - unix_now) + job.allowed;
+  return now + (began - unix_now) + job.objective;
 }
 
 Lateness Dispatcher::LatenessOf(const Job& job, uint32_t round, TimePoint now,
                                 UnixMillis unix_now) {
   const TimePoint due = DueOf(job, round, now, unix_now);
   const TimePoint end = now + job.progress.RemainingCriticalPath(round, now);
-  if (end > due + (kLateFactor - 1) * job.allowed) return Lateness::kTooLate;
+  if (end > due + (kLateFactor - 1) * job.objective) return Lateness::kTooLate;
   return end > due ? Lateness::kLate : Lateness::kInTime;
 }
 
-double Dispatcher::OrderOf(const Job& job, uint32_t round, TimePoint now,
-                           UnixMillis unix_now) {
+double Dispatcher::BestEffortRankOf(const Job& job, uint32_t round,
+                                    TimePoint now, UnixMillis unix_now) {
   return YieldOrder(LatenessOf(job, round, now, unix_now),
                     job.progress.RemainingCoreSeconds(round),
                     DueOf(job, round, now, unix_now));
 }
 
-void Dispatcher::SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now) {
+void Dispatcher::UpdateBestEffortRank(Job& job, TimePoint now,
+                                      UnixMillis unix_now) {
   const Workflow& workflow = job.progress.workflow();
   for (uint32_t round = 0; round < workflow.rounds(); ++round) {
     if (job.progress.RemainingCoreSeconds(round) <= 0) continue;
-    job.allowed = AllowedFor(job, round);
-    job.yield_order = OrderOf(job, round, now, unix_now);
+    job.objective = LatencyObjectiveOf(job, round);
+    job.best_effort_rank = BestEffortRankOf(job, round, now, unix_now);
     return;
   }
 }
 
 TaskTraits Dispatcher::TraitsOf(const Job& job, const WorkflowStep& step) {
   return {step.image, step.best_effort, step.tail_target, step.each.cpu_millis,
-          job.yield_order};
+          job.best_effort_rank};
 }
 
-// By lateness, the queue's priority and the order within the class of lateness;
-// what runs until it is cancelled is never late.
+// Sorts by lateness, the queue's priority and the rank. Long-running tasks are
+// never late.
 std::vector<Dispatcher::OpenStepRef> Dispatcher::ByUrgency(
     TimePoint now, UnixMillis unix_now) {
   using Rank = std::tuple<Lateness, int32_t, double, TimePoint>;
@@ -126,7 +128,7 @@
       Lateness lateness = LatenessOf(*job, open.round, now, unix_now);
       if (workflow.steps[open.step].long_running) lateness = Lateness::kInTime;
       ranked.push_back({Rank{lateness, workflow.policy.priority,
-                             OrderOf(*job, open.round, now, unix_now),
+                             BestEffortRankOf(*job, open.round, now, unix_now),
                              DueOf(*job, open.round, now, unix_now)},
                         {job.get(), open}});
     }
@@ -140,7 +142,7 @@
   return ordered;
 }
 
-void Dispatcher::StartWaiting(TimePoint now, UnixMillis unix_now) {
+void Dispatcher::StartWaitingTasks(TimePoint now, UnixMillis unix_now) {
   no_room_.clear();
   const uint64_t limit = counts_.starts + kMaxStartsPerTick;
   for (const OpenStepRef& ref : ByUrgency(now, unix_now)) {
@@ -172,7 +174,7 @@
     std::string name;
     const bool suspect = !task.crashed_runs.empty();
     Vm* vm = suspect ? ChooseForTrial(job, step, open, task, now, &name)
-                     : Choose(job, step, open, task.avoid_vm, now, &name);
+                     : ChooseVm(job, step, open, task.avoid_vm, now, &name);
     if (vm == nullptr && suspect) continue;
     if (vm == nullptr) return;
     StartOn(name, *vm, job, {workflow.id, open.round, open.step, i},
@@ -189,7 +191,7 @@
   uint64_t run = 0;
   std::string checkpoint;
   for (const WorkflowProgress::Task& task : tasks) {
-    // All members must be free before the next run of the gang.
+    // The next run of a gang needs all members to be free.
     if (task.phase != WorkflowProgress::Phase::kWaiting ||
         now < task.not_before) {
       return;
@@ -220,7 +222,7 @@
   std::vector<Reservation> reserved;
   for (uint32_t i = 0; i < step.tasks; ++i) {
     std::string name;
-    Vm* vm = Choose(job, step, open, "", now, &name, rack);
+    Vm* vm = ChooseVm(job, step, open, "", now, &name, rack);
     if (vm == nullptr) {
       for (const auto& [holder, ref] : reserved) Release(vms_[holder], ref);
       return {};
@@ -246,12 +248,12 @@
 
 bool Dispatcher::Fits(const Vm& vm, const std::string& name, const Job& job,
                       const WorkflowStep& step, TimePoint now) const {
-  // What most VMs fail at comes first, and what is dear to ask comes last.
+  // Cheap and selective checks come first, expensive ones last.
   Resources need = step.each;
   if (step.best_effort) need.cpu_millis = 0;
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
-  if (!vm.linked || !vm.answered || !vm.leased || status.draining ||
+  if (!vm.linked || !vm.has_inventory || !vm.leased || status.draining ||
       status.life.empty() ||
       status.service != job.progress.workflow().service) {
     return false;
@@ -260,14 +262,14 @@
   if (IsOnTrial(vm, now) && vm.trial->workflow != job.progress.workflow().id) {
     return false;
   }
-  if (now < vm.not_before || vm.lease_bound - now < kLeastLease) return false;
+  if (now < vm.not_before || vm.lease_bound - now < kMinLeaseTime) return false;
   if (!step.required_label.empty() &&
       std::find(status.labels.begin(), status.labels.end(),
                 step.required_label) == status.labels.end()) {
     return false;
   }
-  if (step.best_effort && !HasRoomToFill(vm, job, step)) return false;
-  return LeavesKeptRoom(name, vm, step) &&
+  if (step.best_effort && !HasBestEffortRoom(vm, job, step)) return false;
+  return FitsBesideReservation(name, vm, step) &&
          IsHealthyFor(name, vm, job, step, now);
 }
 
@@ -282,52 +284,55 @@
     return false;
   }
   return step.max_per_vm == 0 ||
-         HeldOfStep(vm, workflow.id, open) < step.max_per_vm;
+         HeldRunsOfStep(vm, workflow.id, open) < step.max_per_vm;
 }
 
-// Lower is better. What fills goes where most processor time is left over
-// and least harm is expected; what serves gathers on few VMs, beside its like
-// if it can, so that fillers find VMs where they disturb nothing; the rest
-// goes where it fits tightest.
-double Dispatcher::Cost(const Vm& vm, const WorkflowStep& step) const {
+// Lower is better. Best-effort tasks go where most processor time is free and
+// least harm is expected. Serving tasks are packed on few VMs, beside others of
+// their image if possible, so that best-effort tasks find VMs without
+// interference. All others go where they fit most tightly.
+double Dispatcher::PlacementCost(const Vm& vm, const WorkflowStep& step) const {
   const auto used = static_cast<double>(vm.used.cpu_millis);
-  const auto filling = static_cast<double>(vm.filling_cpu);
+  const auto best_effort = static_cast<double>(vm.best_effort_cpu);
   const auto serving = static_cast<double>(vm.serving_cpu);
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
   if (step.best_effort) {
     const double busy =
-        (used - serving + dispatch_internal::kServingUse * serving + filling) /
+        (used - serving + dispatch_internal::kServingUtilization * serving +
+         best_effort) /
         whole;
     if (vm.serving.empty()) return busy;
     const double ratio = WorstTailRatio(vm, step);
-    const double harm =
-        ratio > dispatch_internal::kHarmfulRatio ? kHarmCost * ratio : ratio;
+    const double harm = ratio > dispatch_internal::kHarmfulTailRatio
+                            ? kHarmfulTailCost * ratio
+                            : ratio;
     return busy + harm;
   }
   if (step.tail_target > Duration(0)) {
     const double loss =
-        kLayoutCost * LayoutLoss(vm, step.image, step.each.cpu_millis);
-    if (vm.serving.empty()) return loss + kNewToServing + filling / whole;
-    const double mixing = vm.serving.count(step.image) > 0 ? 0 : kMixing;
-    return loss + mixing + (filling - used) / whole;
+        kLayoutCostPerCore * LayoutLoss(vm, step.image, step.each.cpu_millis);
+    if (vm.serving.empty()) return loss + kNewServingCost + best_effort / whole;
+    const double mixing =
+        vm.serving.count(step.image) > 0 ? 0 : kMixedServingCost;
+    return loss + mixing + (best_effort - used) / whole;
   }
   return -used / whole;
 }
 
-bool Dispatcher::HadNoRoom(const std::string& service,
-                           const WorkflowStep& step) const {
+bool Dispatcher::FoundNoRoom(const std::string& service,
+                             const WorkflowStep& step) const {
   return std::any_of(no_room_.begin(), no_room_.end(), [&](const auto& entry) {
     const WorkflowStep& earlier = entry.second;
-    // A filler may have been kept away for what its own image disturbs.
+    // The VMs that are harmful depend on the best-effort image.
     const bool alike = earlier.best_effort == step.best_effort &&
                        (!step.best_effort || earlier.image == step.image);
     return entry.first == service && alike && step.each.Holds(earlier.each);
   });
 }
 
-uint32_t Dispatcher::HeldOfStep(const Vm& vm, const std::string& workflow,
-                                const WorkflowProgress::OpenStep& open) {
+uint32_t Dispatcher::HeldRunsOfStep(const Vm& vm, const std::string& workflow,
+                                    const WorkflowProgress::OpenStep& open) {
   const auto held =
       std::count_if(vm.held.begin(), vm.held.end(), [&](const auto& entry) {
         const TaskRef& task = entry.first.task;
@@ -337,29 +342,29 @@
   return static_cast<uint32_t>(held);
 }
 
-Dispatcher::Vm* Dispatcher::Choose(const Job& job, const WorkflowStep& step,
-                                   const WorkflowProgress::OpenStep& open,
-                                   const std::string& avoid, TimePoint now,
-                                   std::string* name,
-                                   const std::optional<std::string>& rack) {
+Dispatcher::Vm* Dispatcher::ChooseVm(const Job& job, const WorkflowStep& step,
+                                     const WorkflowProgress::OpenStep& open,
+                                     const std::string& avoid, TimePoint now,
+                                     std::string* name,
+                                     const std::optional<std::string>& rack) {
   const Workflow& workflow = job.progress.workflow();
   const bool advised = workflow.policy.needs_advice;
   const bool simple =
       step.max_per_vm == 0 && step.required_label.empty() && !advised && !rack;
-  // Others may have been kept away from places that are open to this one.
-  const bool had_no_room = HadNoRoom(workflow.service, step);
-  if (simple && had_no_room && !NeedsARun(job)) return nullptr;
+  // Steps with further constraints may have found no room where this one does.
+  const bool had_no_room = FoundNoRoom(workflow.service, step);
+  if (simple && had_no_room && !NeedsGuaranteedRun(job)) return nullptr;
   Vm* best = nullptr;
   double best_cost = 0;
   for (auto& [vm_name, vm] : vms_) {
     if (rack && vm.status.rack != *rack) continue;
     if (!MayHost(vm, vm_name, job, step, open, now)) continue;
-    double cost = Cost(vm, step);
+    double cost = PlacementCost(vm, step);
     if (!step.preferred_rack.empty() && vm.status.rack != step.preferred_rack) {
-      cost += kOtherRack;
+      cost += kOtherRackCost;
     }
-    if (vm_name == avoid) cost += kAvoided;
-    if (vm.cold) cost += kCold;
+    if (vm_name == avoid) cost += kAvoidedVmCost;
+    if (vm.cold) cost += kColdVmCost;
     if (best == nullptr || cost < best_cost) {
       best = &vm;
       best_cost = cost;
@@ -381,7 +386,7 @@
   const std::string checkpoint =
       step.saves_progress ? job.progress.At(ref).checkpoint : "";
   job.progress.OnStarted(ref, run, name, now);
-  // Its time there tells nothing of the others'.
+  // Its run time is not typical of the step.
   if (vm.cold) job.progress.At(ref).measurable = false;
   ++counts_.starts;
   StartRuns& starts =
@@ -407,9 +412,9 @@
 
 void Dispatcher::FlushStarts() {
   for (auto& [key, starts] : std::exchange(starts_, {})) {
-    // What it knows of a new image's pace comes before the image.
+    // The executor needs the weights of a new image before its first start.
     Vm& vm = vms_[key.first];
-    if (vm.new_image) SendWeightsTo(key.first, vm);
+    if (vm.has_new_image) SendWeightsTo(key.first, vm);
     Send(key.first, std::move(starts));
   }
 }
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -1,4 +1,4 @@
-// The part of Dispatcher that shows its state, for the log and for operators.
+// Dispatcher: reports its state for logs and operators.
 #include <algorithm>
 #include <sstream>
 
@@ -7,32 +7,32 @@
 namespace beamhill {
 namespace {
 
-// A weight that has moved by less than this, or this part of itself, is no
-// news.
-constexpr Duration kNews = std::chrono::milliseconds(10);
-constexpr int kNewsDivisor = 4;
+// Minimum change of a weight, absolute and relative, that is logged.
+constexpr Duration kMinWeightChange = std::chrono::milliseconds(10);
+constexpr int kMinWeightChangeDivisor = 4;
 
 }  // namespace
 
-std::vector<PressureWeight> Dispatcher::TakeNews(size_t limit) {
-  std::vector<std::pair<Duration, PressureWeight>> news;
+std::vector<PressureWeight> Dispatcher::TakeChangedWeights(size_t limit) {
+  std::vector<std::pair<Duration, PressureWeight>> changed;
   for (const auto& weight : interference_.Weights()) {
-    const auto told =
+    const auto logged =
         logged_weights_.find({weight.serving, weight.best_effort});
     const Duration before =
-        told == logged_weights_.end() ? Duration(0) : told->second;
+        logged == logged_weights_.end() ? Duration(0) : logged->second;
     const Duration moved = std::chrono::abs(weight.per_vm - before);
-    if (moved < std::max(kNews, std::chrono::abs(before) / kNewsDivisor)) {
+    if (moved < std::max(kMinWeightChange,
+                         std::chrono::abs(before) / kMinWeightChangeDivisor)) {
       continue;
     }
-    news.push_back(
+    changed.push_back(
         {moved, {weight.serving, weight.best_effort, weight.per_vm}});
   }
-  std::sort(news.begin(), news.end(),
+  std::sort(changed.begin(), changed.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
-  if (news.size() > limit) news.resize(limit);
+  if (changed.size() > limit) changed.resize(limit);
   std::vector<PressureWeight> taken;
-  for (auto& entry : news) {
+  for (auto& entry : changed) {
     const PressureWeight& weight = entry.second;
     logged_weights_[{weight.serving, weight.filling}] = weight.per_vm;
     taken.push_back(weight);
@@ -46,15 +46,15 @@
     summary.stops += vm.stops.size();
     summary.oldest_stop =
         std::max(summary.oldest_stop, vm.stops.OldestAge(now));
-    if (!vm.answered) continue;
+    if (!vm.has_inventory) continue;
     ++summary.vms;
     summary.capacity += vm.status.capacity;
     summary.used += vm.used;
     summary.serving_cpu += vm.serving_cpu;
-    summary.filling_cpu += vm.filling_cpu;
-    // The last report of a VM stays after its last filler has gone.
+    summary.filling_cpu += vm.best_effort_cpu;
+    // The last report may still count tasks that are gone.
     summary.filling_cpu_in_use +=
-        std::min(vm.filling_cpu_in_use, vm.filling_cpu);
+        std::min(vm.best_effort_cpu_in_use, vm.best_effort_cpu);
     summary.held_runs += vm.held.size();
   }
   for (const auto& [id, job] : jobs_) {
@@ -89,16 +89,17 @@
 std::string Dispatcher::Dump(TimePoint now) const {
   std::ostringstream out;
   out << "epoch " << options_.epoch << " workflows " << jobs_.size()
-      << " unaccounted " << unaccounted_.size() << "\n";
+      << " unreconciled " << unreconciled_.size() << "\n";
   for (const std::string& hall : evacuations_.halls) {
     out << "evacuated hall " << hall << "\n";
   }
   for (const auto& [name, vm] : vms_) {
     out << "vm " << name << " life " << vm.status.life << " answered "
-        << vm.answered << " held " << vm.held.size() << " stops "
+        << vm.has_inventory << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
-        << vm.status.capacity.cpu_millis << " filling " << vm.filling_cpu
-        << " lease_ms " << ToMillis(vm.lease_bound - now) << "\n";
+        << vm.status.capacity.cpu_millis << " best_effort "
+        << vm.best_effort_cpu << " lease_ms " << ToMillis(vm.lease_bound - now)
+        << "\n";
   }
   for (const TaskRef& task : suspects_) {
     const auto job = jobs_.find(task.workflow);
@@ -107,14 +108,14 @@
         << job->second->progress.At(task).crashed_runs.size() << "\n";
   }
   for (const auto& weight : interference_.Weights()) {
-    out << "pressure " << weight.best_effort << " on " << weight.serving
+    out << "interference " << weight.best_effort << " on " << weight.serving
         << " ms " << ToMillis(weight.per_vm) << "\n";
   }
   for (const auto& [id, job] : jobs_) {
     if (job->progress.over()) continue;
     out << "workflow " << id << " " << WorkflowStateName(job->progress.state())
         << " opened " << job->opened << " inherited " << job->inherited
-        << " due_ms " << ToMillis(job->added_at + job->allowed - now) << "\n";
+        << " due_ms " << ToMillis(job->added_at + job->objective - now) << "\n";
   }
   return out.str();
 }
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -88,7 +88,7 @@
   dispatcher->Tick(kStart, kUnixNow);
   for (int round = 0; round < 15; ++round) {
     for (int64_t i = 0; i < vms; ++i) {
-      dispatcher->OnPressure(NameOf("vm-", i), InterferenceReportOf(i));
+      dispatcher->OnInterference(NameOf("vm-", i), InterferenceReportOf(i));
     }
   }
   for (int64_t i = 0; i < vms; ++i) {
@@ -113,7 +113,7 @@
   int64_t vm = 0;
   for (auto _ : state) {
     const int64_t at = vm++ % state.range(0);
-    dispatcher->OnPressure(NameOf("vm-", at), InterferenceReportOf(at));
+    dispatcher->OnInterference(NameOf("vm-", at), InterferenceReportOf(at));
   }
 }
 BENCHMARK(BM_Pressure)->Arg(240);
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -14,11 +14,11 @@
   TakeOwnership({});
   dispatcher_->OnLinkUp("vm-1");
   dispatcher_->TakeMessages();
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(1));
   ReceiveInventory("vm-1");
   dispatcher_->TakeMessages();
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));
 }
 
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -64,7 +64,7 @@
     for (uint32_t i = 0; i < load_.vms; ++i) AddVm(i);
     Repeat(kOwnerTick, [this] { Tick(); });
     Repeat(kWeightsInterval, [this] {
-      Timed("weights", [this] { owner_->SendWeights(); });
+      Timed("weights", [this] { owner_->SendInterferenceWeights(); });
       Flush();
     });
     Repeat(kWorkStep, [this] {
@@ -195,7 +195,7 @@
       return;
     }
     if (const auto* pressure = std::get_if<VmPressure>(&message)) {
-      Timed("pressure", [&] { owner_->OnPressure(name, *pressure); });
+      Timed("pressure", [&] { owner_->OnInterference(name, *pressure); });
       return;
     }
     if (const auto* inventory = std::get_if<VmInventory>(&message)) {
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -146,7 +146,7 @@
   }
   for (const Row& row : loading.found.at(rows::kLearned)) {
     const auto learned = DecodeRecord<PressureRecord>(row.value);
-    if (IsOk(learned)) dispatcher_->RecallPressure(ValueOf(learned));
+    if (IsOk(learned)) dispatcher_->RestoreInterference(ValueOf(learned));
   }
   Log(LogLevel::kInfo, "owner_loaded",
       {{"epoch", options_.epoch},
@@ -161,7 +161,7 @@
   notice_scan_ =
       loop_.Every(options_.notice_scan_interval, [this] { ScanNotices(); });
   summary_ = loop_.Every(kSummaryInterval, [this] {
-    dispatcher_->SendWeights();
+    dispatcher_->SendInterferenceWeights();
     Flush();
     LogSummary();
   });
@@ -324,7 +324,7 @@
   if (now - pressure_stored_at_ >= kStorePressureInterval) {
     pressure_stored_at_ = now;
     writes.push_back({rows::kPressure, kAnyVersion,
-                      EncodeRecord(dispatcher_->LearnedPressure())});
+                      EncodeRecord(dispatcher_->LearnedInterference())});
   }
   constexpr size_t kMaxWrites = 98;  // Of 100; one is the owner's row.
   while (!stale_markers_.empty() && writes.size() < kMaxWrites) {
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -35,7 +35,7 @@
 }  // namespace
 
 void WorkOwner::ScanVms() {
-  dispatcher_->AttachAgain();
+  dispatcher_->RetryAttach();
   Flush();
   if (scanning_vms_) return;
   scanning_vms_ = true;
@@ -125,7 +125,7 @@
   } else if (const auto* reports = std::get_if<RunReports>(&message)) {
     dispatcher_->OnReports(vm, *reports, now);
   } else if (const auto* pressure = std::get_if<VmPressure>(&message)) {
-    dispatcher_->OnPressure(vm, *pressure);
+    dispatcher_->OnInterference(vm, *pressure);
     return;
   } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
     if (!dispatcher_->OnInventory(vm, *inventory, now)) {
