--- a/beamhill/scheduler/job_desk.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -1,4 +1,4 @@
-#include "beamhill/scheduler/job_desk.h"
+#include "beamhill/scheduler/job_repository.h"
 
 #include <algorithm>
 #include <utility>
--- a/beamhill/scheduler/job_desk.h
+++ b/beamhill/scheduler/job_repository.h
@@ -16,8 +16,8 @@
 //   JobDesk desk(table);
 //   desk.Submit(workflow, [](SubmitResult result) { ... });
 //   desk.Tick();                                            // each 50 ms
-#ifndef BEAMHILL_SCHEDULER_JOB_DESK_H_
-#define BEAMHILL_SCHEDULER_JOB_DESK_H_
+#ifndef BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
+#define BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
 
 #include <cstdint>
 #include <functional>
@@ -139,4 +139,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_SCHEDULER_JOB_DESK_H_
+#endif  // BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
--- a/beamhill/scheduler/open_calls.h
+++ b/beamhill/scheduler/pending_calls.h
@@ -3,8 +3,8 @@
 //   OpenCalls<Answer> calls(loop);
 //   calls.Add(7, timeout, [](std::optional<Answer> answer) { ... });
 //   calls.Finish(7, answer);
-#ifndef BEAMHILL_SCHEDULER_OPEN_CALLS_H_
-#define BEAMHILL_SCHEDULER_OPEN_CALLS_H_
+#ifndef BEAMHILL_SCHEDULER_PENDING_CALLS_H_
+#define BEAMHILL_SCHEDULER_PENDING_CALLS_H_
 
 #include <cstdint>
 #include <functional>
@@ -53,4 +53,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_SCHEDULER_OPEN_CALLS_H_
+#endif  // BEAMHILL_SCHEDULER_PENDING_CALLS_H_
--- a/beamhill/scheduler/in_turn.h
+++ b/beamhill/scheduler/round_robin.h
@@ -1,8 +1,8 @@
 // Passes on a large set in small parts, one after another.
 //
 //   for (const auto& key : NextInTurn(peers, cursor, 8)) { ... }
-#ifndef BEAMHILL_SCHEDULER_IN_TURN_H_
-#define BEAMHILL_SCHEDULER_IN_TURN_H_
+#ifndef BEAMHILL_SCHEDULER_ROUND_ROBIN_H_
+#define BEAMHILL_SCHEDULER_ROUND_ROBIN_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -29,4 +29,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_SCHEDULER_IN_TURN_H_
+#endif  // BEAMHILL_SCHEDULER_ROUND_ROBIN_H_
--- a/beamhill/scheduler/in_turn_test.cc
+++ b/beamhill/scheduler/round_robin_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/scheduler/in_turn.h"
+#include "beamhill/scheduler/round_robin.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -6,7 +6,7 @@
 
 #include "beamhill/config/config.h"
 #include "beamhill/log/log.h"
-#include "beamhill/scheduler/in_turn.h"
+#include "beamhill/scheduler/round_robin.h"
 #include "beamhill/scheduler/scheduler.h"
 
 namespace beamhill {
--- a/beamhill/scheduler/submit_call.h
+++ b/beamhill/scheduler/submit_call.h
@@ -22,7 +22,7 @@
 #include <optional>
 
 #include "beamhill/base/time.h"
-#include "beamhill/scheduler/job_desk.h"
+#include "beamhill/scheduler/job_repository.h"
 
 namespace beamhill {
 
--- a/beamhill/scheduler/work_owner.h
+++ b/beamhill/scheduler/work_owner.h
@@ -21,7 +21,7 @@
 #include "beamhill/event/event_loop.h"
 #include "beamhill/metrics/metrics.h"
 #include "beamhill/scheduler/dialed_peer.h"
-#include "beamhill/scheduler/job_desk.h"
+#include "beamhill/scheduler/job_repository.h"
 #include "beamhill/table/table.h"
 
 namespace beamhill {
