--- a/beamhill/scheduler/job_repository.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -65,10 +65,10 @@
 
 }  // namespace
 
-JobDesk::JobDesk(Table table, std::function<TimePoint()> now)
+JobRepository::JobRepository(Table table, std::function<TimePoint()> now)
     : table_(std::move(table)), now_(std::move(now)) {}
 
-void JobDesk::Submit(const Workflow& workflow,
+void JobRepository::Submit(const Workflow& workflow,
                      std::function<void(SubmitResult)> done) {
   const auto same = [&](const auto& entry) {
     return entry.second.workflow.id == workflow.id;
@@ -85,12 +85,12 @@
   if (none_open || MaySend()) SendWaiting();
 }
 
-JobDesk::Number JobDesk::Add(const Workflow& workflow) {
+JobRepository::Number JobRepository::Add(const Workflow& workflow) {
   submissions_[++last_number_].workflow = workflow;
   return last_number_;
 }
 
-std::vector<JobDesk::Number> JobDesk::Waiting() const {
+std::vector<JobRepository::Number> JobRepository::Waiting() const {
   std::vector<Number> numbers;
   for (const auto& [number, submission] : submissions_) {
     numbers.push_back(number);
@@ -98,7 +98,7 @@
   return numbers;
 }
 
-void JobDesk::SetTableSilent(bool silent) {
+void JobRepository::SetTableSilent(bool silent) {
   table_silent_ = silent;
   if (!silent) return;
   for (const Number number : Waiting()) {
@@ -106,7 +106,7 @@
   }
 }
 
-void JobDesk::Tick() {
+void JobRepository::Tick() {
   const TimePoint now = now_();
   for (const Number number : Waiting()) {
     const auto first_sent = submissions_.at(number).first_sent;
@@ -122,7 +122,7 @@
   }
 }
 
-bool JobDesk::MaySend() const {
+bool JobRepository::MaySend() const {
   const TimePoint now = now_();
   if (table_silent_ || open_ >= kMostOpen || now < not_before_) return false;
   const bool timed_out =
@@ -133,7 +133,7 @@
 // Reads take no turn from writes, so that in a slow table this costs nothing;
 // and nothing new is sent until something is answered, so that it can be
 // refused truthfully if the table answers nobody.
-void JobDesk::Look() {
+void JobRepository::Look() {
   looking_ = true;
   const Number number = submissions_.begin()->first;
   ReadRow(rows::kWorkflows + submissions_.begin()->second.workflow.id,
@@ -143,7 +143,7 @@
           });
 }
 
-void JobDesk::OnLook(Number number, TimePoint sent_at,
+void JobRepository::OnLook(Number number, TimePoint sent_at,
                      const std::optional<Row>& row) {
   if (!row) return;
   const Duration took = now_() - sent_at;
@@ -158,7 +158,7 @@
   if (MaySend()) SendWaiting();
 }
 
-void JobDesk::SendWaiting() {
+void JobRepository::SendWaiting() {
   std::vector<Number> batch;
   for (const auto& [number, submission] : submissions_) {
     if (batch.size() == kMaxBatch) break;
@@ -167,7 +167,7 @@
   if (!batch.empty()) Send(batch);
 }
 
-void JobDesk::Send(const std::vector<Number>& batch) {
+void JobRepository::Send(const std::vector<Number>& batch) {
   const TimePoint now = now_();
   Transaction transaction;
   for (const Number number : batch) {
@@ -191,7 +191,7 @@
                 }));
 }
 
-void JobDesk::OnSent(const std::vector<Number>& batch, TimePoint sent_at,
+void JobRepository::OnSent(const std::vector<Number>& batch, TimePoint sent_at,
                      const CommitAnswer& answer) {
   const CommitResult result = answer.result;
   if (IsServed(result)) {
@@ -218,7 +218,7 @@
   for (const Number number : left) OnSentOne(number, result);
 }
 
-void JobDesk::OnBatchConflict(const std::vector<Number>& batch,
+void JobRepository::OnBatchConflict(const std::vector<Number>& batch,
                               const std::vector<Row>& standing) {
   if (standing.empty()) {
     // Each by itself tells which.
@@ -235,7 +235,7 @@
   }
 }
 
-void JobDesk::OnSentOne(Number number, CommitResult result) {
+void JobRepository::OnSentOne(Number number, CommitResult result) {
   Submission& submission = submissions_.at(number);
   switch (result) {
     case CommitResult::kCommitted:
@@ -255,18 +255,18 @@
   }
 }
 
-void JobDesk::FinishAsKnown(Number number) {
+void JobRepository::FinishAsKnown(Number number) {
   Finish(number, submissions_.at(number).unsure ? SubmitResult::kUnknown
                                                 : SubmitResult::kRefused);
 }
 
-void JobDesk::Finish(Number number, SubmitResult result) {
+void JobRepository::Finish(Number number, SubmitResult result) {
   const auto done = std::move(submissions_.at(number).done);
   submissions_.erase(number);
   for (const auto& answer : done) answer(result);
 }
 
-void JobDesk::ReadRow(const std::string& key,
+void JobRepository::ReadRow(const std::string& key,
                       std::function<void(std::optional<Row>)> done) {
   table_.read(
       {key},
@@ -279,7 +279,7 @@
       }));
 }
 
-void JobDesk::Cancel(const std::string& workflow,
+void JobRepository::Cancel(const std::string& workflow,
                      std::function<void(CancelResult)> done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& stored) {
@@ -293,7 +293,7 @@
           });
 }
 
-void JobDesk::StoreCancel(const std::string& workflow, uint64_t version,
+void JobRepository::StoreCancel(const std::string& workflow, uint64_t version,
                           std::function<void(CancelResult)> done) {
   Transaction transaction;
   transaction.checks.push_back({rows::kWorkflows + workflow, version});
@@ -305,7 +305,7 @@
                 }));
 }
 
-void JobDesk::Load(const std::string& workflow, LoadDone done) {
+void JobRepository::Load(const std::string& workflow, LoadDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& row) {
             std::optional<Workflow> stored = WorkflowIn(row);
@@ -317,7 +317,7 @@
           });
 }
 
-void JobDesk::LoadRecord(const std::string& id, Workflow workflow,
+void JobRepository::LoadRecord(const std::string& id, Workflow workflow,
                          LoadDone done) {
   ReadRow(rows::kProgress + id,
           [workflow = std::move(workflow),
@@ -332,7 +332,7 @@
 
 // Three reads, one after another: whether it is cancelled, whether it is
 // stored, and how far it is.
-void JobDesk::StoredState(const std::string& workflow, StateDone done) {
+void JobRepository::StoredState(const std::string& workflow, StateDone done) {
   ReadRow(rows::kCancels + workflow,
           [this, workflow, done](const std::optional<Row>& cancel) {
             if (!cancel) {
@@ -343,7 +343,7 @@
           });
 }
 
-void JobDesk::StateIfStored(const std::string& workflow, bool cancelled,
+void JobRepository::StateIfStored(const std::string& workflow, bool cancelled,
                             StateDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, cancelled, done](const std::optional<Row>& stored) {
@@ -357,7 +357,7 @@
           });
 }
 
-void JobDesk::StateByProgress(const std::string& workflow, bool cancelled,
+void JobRepository::StateByProgress(const std::string& workflow, bool cancelled,
                               StateDone done) {
   ReadRow(rows::kProgress + workflow,
           [cancelled, done = std::move(done)](const std::optional<Row>& row) {
--- a/beamhill/scheduler/job_repository.h
+++ b/beamhill/scheduler/job_repository.h
@@ -13,7 +13,7 @@
 // and unsent: one that is sent ends without a clear answer, after which callers
 // can't try again.
 //
-//   JobDesk desk(table);
+//   JobRepository desk(table);
 //   desk.Submit(workflow, [](SubmitResult result) { ... });
 //   desk.Tick();                                            // each 50 ms
 #ifndef BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
@@ -52,14 +52,14 @@
   std::optional<WorkflowState> state;
 };
 
-class JobDesk {
+class JobRepository {
  public:
   using StateDone = std::function<void(StateResult)>;
   // Gets nothing when there is no such workflow, or it can't be read.
   using LoadDone = std::function<void(std::optional<Workflow>,
                                       std::optional<ProgressRecord>)>;
 
-  explicit JobDesk(
+  explicit JobRepository(
       Table table,
       std::function<TimePoint()> now = [] { return BootClock::now(); });
 
--- a/beamhill/scheduler/job_repository_test.cc
+++ b/beamhill/scheduler/job_repository_test.cc
@@ -47,7 +47,7 @@
   }
 
   FaultyTable table_;
-  JobDesk desk_{table_.AsTable()};
+  JobRepository desk_{table_.AsTable()};
 };
 
 TEST_F(JobDeskTest, SameIdStaysOneJob) {
@@ -107,7 +107,7 @@
         return true;
       });
     };
-    held_desk_ = std::make_unique<JobDesk>(table, [this] { return now_; });
+    held_desk_ = std::make_unique<JobRepository>(table, [this] { return now_; });
   }
 
   void SubmitHeld(const std::string& id) {
@@ -134,7 +134,7 @@
   std::vector<std::function<bool()>> looks_;  // True once answered.
   std::vector<Held> held_;
   std::map<std::string, SubmitResult> told_;
-  std::unique_ptr<JobDesk> held_desk_;
+  std::unique_ptr<JobRepository> held_desk_;
 };
 
 // It held up all that came behind it for the time-out of a call, 1.5 s; on a
@@ -255,7 +255,7 @@
     most = std::max(most, entries);
     table_.AsTable().commit(std::move(transaction), std::move(done));
   };
-  JobDesk desk(counting);
+  JobRepository desk(counting);
   int accepted = 0;
   for (int i = 0; i < 90; ++i) {
     desk.Submit(Job("j" + std::to_string(i)), [&](SubmitResult result) {
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -197,7 +197,7 @@
   SchedulerHooks hooks_;
   std::mt19937_64 random_;
   uint64_t incarnation_;
-  JobDesk desk_;
+  JobRepository desk_;
   WorkOwnerMetrics owner_metrics_;
   std::unique_ptr<OwnershipKeeper> keeper_;
   std::unique_ptr<WorkOwner> owner_;
--- a/beamhill/scheduler/work_owner.h
+++ b/beamhill/scheduler/work_owner.h
@@ -144,7 +144,7 @@
   AdvisorHook advisor_;
   EvacuationsHook evacuations_;
   WorkOwnerMetrics metrics_;
-  JobDesk desk_;
+  JobRepository desk_;
   std::unique_ptr<Dispatcher> dispatcher_;
   std::map<std::string, VmPeer> vms_;
   // Since the last log lines about them.
