--- a/beamhill/scheduler/handover.cc
+++ b/beamhill/scheduler/handover.cc
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-double HostStrength(double cores, double link_mbps) {
+double HostCapacity(double cores, double link_mbps) {
   return std::min(cores / kCoresNeeded, link_mbps / kLinkMbpsNeeded);
 }
 
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -19,7 +19,7 @@
 // What a VM has for an owner, relative to what an owner of some hundred VMs
 // needs (a quarter of a core and 50 Mbit/s, from plays at 76 VMs): at 1 or
 // above it has enough.
-double HostStrength(double cores, double link_mbps);
+double HostCapacity(double cores, double link_mbps);
 
 // How long a host of that strength leaves a free row to stronger ones.
 Duration ClaimDelay(double strength);
--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -21,9 +21,9 @@
 }
 
 TEST(HandoverTest, StrengthIsWhatIsScarcest) {
-  EXPECT_DOUBLE_EQ(HostStrength(0.25, 1000), 1);
-  EXPECT_DOUBLE_EQ(HostStrength(0.5, 10), 0.2);
-  EXPECT_NEAR(HostStrength(0.12, 200), 0.48, 1e-9);
+  EXPECT_DOUBLE_EQ(HostCapacity(0.25, 1000), 1);
+  EXPECT_DOUBLE_EQ(HostCapacity(0.5, 10), 0.2);
+  EXPECT_NEAR(HostCapacity(0.12, 200), 0.48, 1e-9);
 }
 
 TEST(HandoverTest, OnlyWeakHostsLeaveTheRowToOthers) {
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -43,7 +43,7 @@
   Duration lease_term = std::chrono::seconds(5);
   // How long an owner may act without a transaction that took effect.
   Duration authority_term = std::chrono::seconds(8);
-  // Of this VM, see HostStrength.
+  // Of this VM, see HostCapacity.
   double strength = 1;
   // How long it leaves a free row to others; by its strength when not given.
   std::optional<Duration> claim_delay;
