--- a/beamhill/scheduler/handover.cc
+++ b/beamhill/scheduler/handover.cc
@@ -58,7 +58,7 @@
   return std::chrono::duration_cast<Duration>(missing * kLongestClaimDelay);
 }
 
-Duration SpreadClaimDelay(double strength, size_t others, double chance) {
+Duration RandomizedClaimDelay(double strength, size_t others, double chance) {
   if (others == 0 || others > kMostSlots) {
     return ClaimDelay(strength) + DelayAmongUnknown(chance);
   }
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -28,7 +28,7 @@
 // by its strength and by chance: so that of any number one or two claim it at
 // the same moment. One that knows of none may have just started beside
 // hundreds. `chance` is uniform in [0, 1).
-Duration SpreadClaimDelay(double strength, size_t others, double chance);
+Duration RandomizedClaimDelay(double strength, size_t others, double chance);
 
 // A peer, by its last heartbeat.
 struct PeerView {
--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -45,7 +45,7 @@
     for (size_t round = 0; round < kRounds; ++round) {
       std::vector<Duration> delays;
       for (size_t i = 0; i < schedulers; ++i) {
-        delays.push_back(SpreadClaimDelay(1, schedulers - 1, chance(random)));
+        delays.push_back(RandomizedClaimDelay(1, schedulers - 1, chance(random)));
       }
       const Duration first = *std::min_element(delays.begin(), delays.end());
       first_sum += first;
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -101,7 +101,7 @@
   hooks.claim_delay = [this] {
     if (settings_.claim_delay) return *settings_.claim_delay;
     const double chance = std::uniform_real_distribution<double>(0, 1)(random_);
-    return SpreadClaimDelay(settings_.strength, known_peers_.size(), chance);
+    return RandomizedClaimDelay(settings_.strength, known_peers_.size(), chance);
   };
   hooks.on_follow = [this](const OwnerRecord& owner) { Follow(owner); };
   hooks.on_taken = [this](uint64_t epoch, bool released, bool first) {
