--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-PeerView Served(double strength, int silence_ms = 100) {
-  return {milliseconds(50), milliseconds(silence_ms), strength};
+PeerView Served(double host_capacity, int silence_ms = 100) {
+  return {milliseconds(50), milliseconds(silence_ms), host_capacity};
 }
 
-OwnerView Owner(double strength, int silence_ms) {
-  return {milliseconds(silence_ms), seconds(10), strength, seconds(5)};
+OwnerView Owner(double host_capacity, int silence_ms) {
+  return {milliseconds(silence_ms), seconds(10), host_capacity, seconds(5)};
 }
 
 TEST(HandoverTest, StrengthIsWhatIsScarcest) {
@@ -45,7 +45,8 @@
     for (size_t round = 0; round < kRounds; ++round) {
       std::vector<Duration> delays;
       for (size_t i = 0; i < schedulers; ++i) {
-        delays.push_back(RandomizedClaimDelay(1, schedulers - 1, chance(random)));
+        delays.push_back(
+            RandomizedClaimDelay(1, schedulers - 1, chance(random)));
       }
       const Duration first = *std::min_element(delays.begin(), delays.end());
       first_sum += first;
