--- a/beamhill/scheduler/dialed_peer.cc
+++ b/beamhill/scheduler/dialed_peer.cc
@@ -7,10 +7,10 @@
 namespace beamhill {
 namespace {
 
-constexpr Duration kFirstPause = std::chrono::milliseconds(100);
-constexpr Duration kLongestPause = std::chrono::milliseconds(1000);
+constexpr Duration kMinRedialDelay = std::chrono::milliseconds(100);
+constexpr Duration kMaxRedialDelay = std::chrono::milliseconds(1000);
 // A handshake takes a few round trips; a peer that is cut off takes forever.
-constexpr Duration kOpenTimeout = std::chrono::milliseconds(1200);
+constexpr Duration kHandshakeTimeout = std::chrono::milliseconds(1200);
 
 }  // namespace
 
@@ -26,25 +26,25 @@
 
 void DialedPeer::Dial() {
   opened_ = false;
-  dialed_at_ = BootClock::now();
-  heard_at_ = dialed_at_;
+  dial_started_at_ = BootClock::now();
+  last_received_at_ = dial_started_at_;
   LinkHooks hooks;
   hooks.on_open = [this](Link&) {
     opened_ = true;
-    pause_ = Duration(0);
-    heard_at_ = BootClock::now();
-    message_at_ = heard_at_;
+    redial_delay_ = Duration(0);
+    last_received_at_ = BootClock::now();
+    last_message_at_ = last_received_at_;
     hooks_.on_open();
   };
-  hooks.on_pong = [this](Link&) { heard_at_ = BootClock::now(); };
+  hooks.on_pong = [this](Link&) { last_received_at_ = BootClock::now(); };
   hooks.on_message = [this](Link&, std::string_view frame) { OnFrame(frame); };
   hooks.on_close = [this](Link&) { OnClose(); };
   link_ = Link::Dial(loop_, address_, std::move(hooks));
 }
 
 void DialedPeer::OnFrame(std::string_view frame) {
-  heard_at_ = BootClock::now();
-  message_at_ = heard_at_;
+  last_received_at_ = BootClock::now();
+  last_message_at_ = last_received_at_;
   const Result<DispatchMessage> message = DecodeDispatch(frame);
   if (!IsOk(message)) {
     Log(LogLevel::kWarning, "bad_message",
@@ -58,8 +58,9 @@
 void DialedPeer::OnClose() {
   const bool was_open = opened_;
   opened_ = false;
-  pause_ = std::clamp(pause_ * 2, kFirstPause, kLongestPause);
-  redial_ = loop_.After(pause_, [this] { Dial(); });
+  redial_delay_ =
+      std::clamp(redial_delay_ * 2, kMinRedialDelay, kMaxRedialDelay);
+  redial_timer_ = loop_.After(redial_delay_, [this] { Dial(); });
   hooks_.on_down(was_open);
 }
 
@@ -72,16 +73,16 @@
 void DialedPeer::CloseIfSilent(Duration limit) {
   if (!link_) return;
   const TimePoint now = BootClock::now();
-  const bool stuck = !opened_ && now - dialed_at_ > kOpenTimeout;
-  const bool silent = opened_ && now - heard_at_ > limit;
+  const bool stuck = !opened_ && now - dial_started_at_ > kHandshakeTimeout;
+  const bool silent = opened_ && now - last_received_at_ > limit;
   if (stuck || silent) {
     link_->Close();
     return;
   }
   // Twice at least before the link is given up.
-  const bool quiet = opened_ && now - heard_at_ > limit / 2;
-  if (!quiet || now - pinged_at_ < limit / 4) return;
-  pinged_at_ = now;
+  const bool quiet = opened_ && now - last_received_at_ > limit / 2;
+  if (!quiet || now - last_ping_at_ < limit / 4) return;
+  last_ping_at_ = now;
   link_->Ping();
 }
 
--- a/beamhill/scheduler/dialed_peer.h
+++ b/beamhill/scheduler/dialed_peer.h
@@ -39,7 +39,7 @@
   void CloseIfSilent(Duration limit);
   bool is_open() const;
   // How long ago the last message came, or the link opened.
-  Duration SinceMessage() const { return BootClock::now() - message_at_; }
+  Duration SinceMessage() const { return BootClock::now() - last_message_at_; }
 
  private:
   void Dial();
@@ -51,12 +51,12 @@
   DialedPeerHooks hooks_;
   std::unique_ptr<Link> link_;
   bool opened_ = false;
-  Duration pause_{};
-  TimePoint dialed_at_{};
-  TimePoint heard_at_{};  // Anything at all, on this link.
-  TimePoint message_at_{};
-  TimePoint pinged_at_{};
-  Timer redial_;
+  Duration redial_delay_{};
+  TimePoint dial_started_at_{};
+  TimePoint last_received_at_{};  // Anything at all, on this link.
+  TimePoint last_message_at_{};
+  TimePoint last_ping_at_{};
+  Timer redial_timer_;
 };
 
 }  // namespace beamhill
--- a/beamhill/scheduler/dialed_peer_test.cc
+++ b/beamhill/scheduler/dialed_peer_test.cc
@@ -20,9 +20,9 @@
  protected:
   std::unique_ptr<DialedPeer> Dial(const Address& address) {
     DialedPeerHooks hooks;
-    hooks.on_open = [this] { ++opened_; };
+    hooks.on_open = [this] { ++open_count_; };
     hooks.on_message = [](const DispatchMessage&) {};
-    hooks.on_down = [this](bool was_open) { lost_ += was_open ? 1 : 0; };
+    hooks.on_down = [this](bool was_open) { down_count_ += was_open ? 1 : 0; };
     return std::make_unique<DialedPeer>(*loop_, address, std::move(hooks));
   }
 
@@ -34,8 +34,8 @@
   }
 
   std::unique_ptr<EventLoop> loop_ = std::move(ValueOf(EventLoop::Create()));
-  int opened_ = 0;
-  int lost_ = 0;
+  int open_count_ = 0;
+  int down_count_ = 0;
 };
 
 // Of 800 executors that started at once, 540 were dialed a second time, since
@@ -45,8 +45,8 @@
                                              [](Link&) { return LinkHooks(); });
   const auto peer = Dial({"127.0.0.1", ValueOf(listener)->port()});
   RunFor(seconds(3), *peer);
-  EXPECT_EQ(opened_, 1);
-  EXPECT_EQ(lost_, 0);
+  EXPECT_EQ(open_count_, 1);
+  EXPECT_EQ(down_count_, 0);
   EXPECT_GE(peer->SinceMessage(), seconds(2));
 }
 
@@ -56,16 +56,16 @@
   const auto listener = LinkListener::Listen(*frozen_loop, {"127.0.0.1", 0},
                                              [](Link&) { return LinkHooks(); });
   const auto peer = Dial({"127.0.0.1", ValueOf(listener)->port()});
-  Timer run_a_while;
+  Timer run_briefly;
   const Timer frozen = loop_->Every(milliseconds(20), [&] {
-    if (opened_ > 0) return;
-    run_a_while =
+    if (open_count_ > 0) return;
+    run_briefly =
         frozen_loop->After(milliseconds(1), [&] { frozen_loop->Stop(); });
     frozen_loop->Run();
   });
   RunFor(seconds(4), *peer);
-  EXPECT_EQ(opened_, 1);
-  EXPECT_EQ(lost_, 1);
+  EXPECT_EQ(open_count_, 1);
+  EXPECT_EQ(down_count_, 1);
 }
 
 }  // namespace
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -3,7 +3,7 @@
 // Pure. An owner that the store doesn't answer while it answers a peer holds
 // everything up; one on a weak VM falls behind a deployment of many VMs.
 //
-//   const auto best = BestServedPeer(peers);
+//   const auto best = BestSuccessor(peers);
 //   if (best && ShouldHandOver(own, peers[*best])) HandOverTo(*best);
 #ifndef BEAMHILL_SCHEDULER_HANDOVER_H_
 #define BEAMHILL_SCHEDULER_HANDOVER_H_
@@ -33,7 +33,7 @@
 
 // A peer, by its last heartbeat.
 struct PeerView {
-  Duration heard_ago{};
+  Duration since_heartbeat{};
   Duration store_silence{};  // Since the store last answered it, then.
   double host_capacity = 1;
 };
@@ -44,18 +44,20 @@
   Duration owned_for{};
   double host_capacity = 1;
   // For how long some peer has been served while this owner was not.
-  Duration peer_served_for{};
+  Duration peer_answered_for{};
 };
 
 // In calm times the store answers each scheduler's watch this often, and some.
-inline constexpr Duration kServedInCalm = std::chrono::milliseconds(2200);
+inline constexpr Duration kMaxStoreSilenceHealthy =
+    std::chrono::milliseconds(2200);
 // When it may have stopped answering some a moment ago.
-inline constexpr Duration kServedJustNow = std::chrono::milliseconds(700);
+inline constexpr Duration kMaxStoreSilenceDegraded =
+    std::chrono::milliseconds(700);
 
 // The strongest peer that the store has answered within that time, by what was
 // heard lately; among equals the one that it answered last.
-std::optional<size_t> BestServedPeer(const std::vector<PeerView>& peers,
-                                     Duration served_within);
+std::optional<size_t> BestSuccessor(const std::vector<PeerView>& peers,
+                                    Duration max_store_silence);
 
 // Whether the owner should give way to that peer, which the store answers.
 bool ShouldHandOver(const OwnerView& owner, const PeerView& peer);
--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -63,34 +63,36 @@
 // answered again was a weak one, and got the work.
 TEST(HandoverTest, PeerThatIsJustServedGetsNothingYet) {
   OwnerView owner = Owner(2, 4500);
-  owner.peer_served_for = milliseconds(100);
+  owner.peer_answered_for = milliseconds(100);
   EXPECT_FALSE(ShouldHandOver(owner, Served(1)));
-  owner.peer_served_for = milliseconds(300);
+  owner.peer_answered_for = milliseconds(300);
   EXPECT_TRUE(ShouldHandOver(owner, Served(1)));
   EXPECT_FALSE(ShouldHandOver(owner, Served(0.4)));
 }
 
 TEST(HandoverTest, PeersThatAreSilentOrCutOffAreNoChoice) {
-  EXPECT_FALSE(BestServedPeer({}, kServedJustNow));
-  EXPECT_FALSE(BestServedPeer({Served(1, 900)}, kServedJustNow));
-  PeerView unheard = Served(1);
-  unheard.heard_ago = milliseconds(900);
-  EXPECT_FALSE(BestServedPeer({unheard}, kServedJustNow));
+  EXPECT_FALSE(BestSuccessor({}, kMaxStoreSilenceDegraded));
+  EXPECT_FALSE(BestSuccessor({Served(1, 900)}, kMaxStoreSilenceDegraded));
+  PeerView no_heartbeat = Served(1);
+  no_heartbeat.since_heartbeat = milliseconds(900);
+  EXPECT_FALSE(BestSuccessor({no_heartbeat}, kMaxStoreSilenceDegraded));
 }
 
 TEST(HandoverTest, StrongestPeerIsChosenThenTheOneServedLast) {
+  EXPECT_EQ(BestSuccessor({Served(0.2), Served(1.5), Served(0.5)},
+                          kMaxStoreSilenceDegraded),
+            1);
+  // Both have enough; the second was answered later.
   EXPECT_EQ(
-      BestServedPeer({Served(0.2), Served(1.5), Served(0.5)}, kServedJustNow),
+      BestSuccessor({Served(4, 500), Served(1, 20)}, kMaxStoreSilenceDegraded),
       1);
-  // Both have enough; the second was answered later.
-  EXPECT_EQ(BestServedPeer({Served(4, 500), Served(1, 20)}, kServedJustNow), 1);
 }
 
 // A planned stop in calm times: strong peers were answered a second ago.
 TEST(HandoverTest, StrongPeerIsChosenInCalmThoughAWeakOneWasServedLater) {
   const std::vector<PeerView> peers = {Served(0.2, 20), Served(2, 1400)};
-  EXPECT_EQ(BestServedPeer(peers, kServedInCalm), 1);
-  EXPECT_EQ(BestServedPeer(peers, kServedJustNow), 0);
+  EXPECT_EQ(BestSuccessor(peers, kMaxStoreSilenceHealthy), 1);
+  EXPECT_EQ(BestSuccessor(peers, kMaxStoreSilenceDegraded), 0);
 }
 
 TEST(HandoverTest, OwnerThatTheStoreDoesNotAnswerGivesWay) {
@@ -102,9 +104,9 @@
   EXPECT_TRUE(ShouldHandOver(Owner(0.2, 0), Served(2)));
   EXPECT_FALSE(ShouldHandOver(Owner(0.2, 0), Served(0.3)));
   EXPECT_FALSE(ShouldHandOver(Owner(1, 0), Served(4)));
-  OwnerView fresh = Owner(0.2, 0);
-  fresh.owned_for = seconds(1);
-  EXPECT_FALSE(ShouldHandOver(fresh, Served(2)));
+  OwnerView recent_owner = Owner(0.2, 0);
+  recent_owner.owned_for = seconds(1);
+  EXPECT_FALSE(ShouldHandOver(recent_owner, Served(2)));
 }
 
 }  // namespace
--- a/beamhill/scheduler/job_repository.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -6,21 +6,22 @@
 namespace beamhill {
 namespace {
 
-// Transactions of submissions that may be open at a time. While answers come it
-// is one, since the table takes those of one partition one after another; each
-// whose answer is lost stays open until its time-out.
-constexpr int kMostOpen = 5;
+// Transactions of submissions that may be open_transactions at a time. While
+// answers come it is one, since the table takes those of one partition one
+// after another; each whose answer is lost stays open_transactions until its
+// time-out.
+constexpr int kMaxOpenTransactions = 5;
 // After a refusal, doubled with each in a row.
-constexpr Duration kFirstPause = std::chrono::milliseconds(100);
-constexpr Duration kLongestPause = std::chrono::milliseconds(800);
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(800);
 // The latest end of a submission that was sent: callers wait for some seconds.
-constexpr Duration kGiveUpAfter = std::chrono::milliseconds(2200);
+constexpr Duration kSubmitTimeout = std::chrono::milliseconds(2200);
 // Each workflow takes three of a transaction's 100 entries (the condition that
 // it is new, its row and its marker) and up to some kilobytes of its megabyte.
 constexpr size_t kMaxBatch = 33;
 
 // Whether the table has looked at the transaction.
-bool IsServed(CommitResult result) {
+bool WasEvaluated(CommitResult result) {
   return result == CommitResult::kCommitted ||
          result == CommitResult::kConflict;
 }
@@ -39,7 +40,7 @@
 
 // The workflow that the row holds; nothing when the read failed, or there is
 // no such row, or it can't be read.
-std::optional<Workflow> WorkflowIn(const std::optional<Row>& row) {
+std::optional<Workflow> ParseWorkflowRow(const std::optional<Row>& row) {
   if (!row || row->version == 0) return std::nullopt;
   const Result<Workflow> workflow = DecodeRecord<Workflow>(row->value);
   if (!IsOk(workflow)) return std::nullopt;
@@ -48,7 +49,7 @@
 
 // The record that the row holds; nothing when there is none, or it can't be
 // read.
-std::optional<ProgressRecord> RecordIn(const Row& row) {
+std::optional<ProgressRecord> ParseProgressRow(const Row& row) {
   if (row.version == 0) return std::nullopt;
   const Result<ProgressRecord> record = DecodeRecord<ProgressRecord>(row.value);
   if (!IsOk(record)) return std::nullopt;
@@ -56,8 +57,8 @@
 }
 
 // The state of a stored workflow whose row of progress is this one.
-WorkflowState StateIn(const Row& progress, bool cancelled) {
-  const std::optional<ProgressRecord> record = RecordIn(progress);
+WorkflowState StateFromRow(const Row& progress, bool cancelled) {
+  const std::optional<ProgressRecord> record = ParseProgressRow(progress);
   const WorkflowState state = record ? record->state : WorkflowState::kQueued;
   const bool over = state >= WorkflowState::kCompleted;
   return cancelled && !over ? WorkflowState::kCancelled : state;
@@ -69,20 +70,20 @@
     : table_(std::move(table)), now_(std::move(now)) {}
 
 void JobRepository::Submit(const Workflow& workflow,
-                     std::function<void(SubmitResult)> done) {
+                           std::function<void(SubmitResult)> done) {
   const auto same = [&](const auto& entry) {
     return entry.second.workflow.id == workflow.id;
   };
   const auto it = std::find_if(submissions_.begin(), submissions_.end(), same);
-  if (it == submissions_.end() && table_silent_) {
+  if (it == submissions_.end() && table_unresponsive_) {
     done(SubmitResult::kRefused);
     return;
   }
   const Number number =
       it == submissions_.end() ? Add(workflow) : Number{it->first};
   submissions_.at(number).done.push_back(std::move(done));
-  const bool none_open = open_ == 0 && !table_silent_;
-  if (none_open || MaySend()) SendWaiting();
+  const bool none_open = open_transactions_ == 0 && !table_unresponsive_;
+  if (none_open || CanSend()) SendPending();
 }
 
 JobRepository::Number JobRepository::Add(const Workflow& workflow) {
@@ -90,7 +91,7 @@
   return last_number_;
 }
 
-std::vector<JobRepository::Number> JobRepository::Waiting() const {
+std::vector<JobRepository::Number> JobRepository::PendingSubmissions() const {
   std::vector<Number> numbers;
   for (const auto& [number, submission] : submissions_) {
     numbers.push_back(number);
@@ -98,53 +99,57 @@
   return numbers;
 }
 
-void JobRepository::SetTableSilent(bool silent) {
-  table_silent_ = silent;
+void JobRepository::SetTableUnresponsive(bool silent) {
+  table_unresponsive_ = silent;
   if (!silent) return;
-  for (const Number number : Waiting()) {
-    if (submissions_.at(number).open == 0) FinishAsKnown(number);
+  for (const Number number : PendingSubmissions()) {
+    if (submissions_.at(number).open_transactions == 0)
+      FinishUnanswered(number);
   }
 }
 
 void JobRepository::Tick() {
   const TimePoint now = now_();
-  for (const Number number : Waiting()) {
-    const auto first_sent = submissions_.at(number).first_sent;
-    const bool late = first_sent && now - *first_sent >= kGiveUpAfter;
+  for (const Number number : PendingSubmissions()) {
+    const auto first_sent_at = submissions_.at(number).first_sent_at;
+    const bool late = first_sent_at && now - *first_sent_at >= kSubmitTimeout;
     if (late) Finish(number, SubmitResult::kUnknown);
   }
   const bool overdue =
-      open_ > 0 && now - last_sent_ >= answer_times_.Patience();
-  if (MaySend()) {
-    SendWaiting();
-  } else if (overdue && unanswered_ && !looking_ && !submissions_.empty()) {
-    Look();
+      open_transactions_ > 0 && now - last_sent_ >= answer_times_.Patience();
+  if (CanSend()) {
+    SendPending();
+  } else if (overdue && awaiting_answer_ && !check_in_flight_ &&
+             !submissions_.empty()) {
+    CheckStored();
   }
 }
 
-bool JobRepository::MaySend() const {
+bool JobRepository::CanSend() const {
   const TimePoint now = now_();
-  if (table_silent_ || open_ >= kMostOpen || now < not_before_) return false;
+  if (table_unresponsive_ || open_transactions_ >= kMaxOpenTransactions ||
+      now < retry_at_)
+    return false;
   const bool timed_out =
-      open_ == 0 && now - last_sent_ >= answer_times_.Patience();
-  return !unanswered_ || timed_out;
+      open_transactions_ == 0 && now - last_sent_ >= answer_times_.Patience();
+  return !awaiting_answer_ || timed_out;
 }
 
 // Reads take no turn from writes, so that in a slow table this costs nothing;
 // and nothing new is sent until something is answered, so that it can be
 // refused truthfully if the table answers nobody.
-void JobRepository::Look() {
-  looking_ = true;
+void JobRepository::CheckStored() {
+  check_in_flight_ = true;
   const Number number = submissions_.begin()->first;
   ReadRow(rows::kWorkflows + submissions_.begin()->second.workflow.id,
           [this, number, sent_at = now_()](const std::optional<Row>& row) {
-            looking_ = false;
-            OnLook(number, sent_at, row);
+            check_in_flight_ = false;
+            OnStoredCheck(number, sent_at, row);
           });
 }
 
-void JobRepository::OnLook(Number number, TimePoint sent_at,
-                     const std::optional<Row>& row) {
+void JobRepository::OnStoredCheck(Number number, TimePoint sent_at,
+                                  const std::optional<Row>& row) {
   if (!row) return;
   const Duration took = now_() - sent_at;
   const bool lost = answer_times_.IsQuick(took);
@@ -153,12 +158,12 @@
   if (stored && submissions_.count(number) > 0) {
     Finish(number, SubmitResult::kAlreadyStored);
   }
-  if (!lost || !unanswered_) return;
-  unanswered_ = false;
-  if (MaySend()) SendWaiting();
+  if (!lost || !awaiting_answer_) return;
+  awaiting_answer_ = false;
+  if (CanSend()) SendPending();
 }
 
-void JobRepository::SendWaiting() {
+void JobRepository::SendPending() {
   std::vector<Number> batch;
   for (const auto& [number, submission] : submissions_) {
     if (batch.size() == kMaxBatch) break;
@@ -172,54 +177,55 @@
   Transaction transaction;
   for (const Number number : batch) {
     Submission& submission = submissions_.at(number);
-    ++submission.open;
-    if (!submission.first_sent) submission.first_sent = now;
+    ++submission.open_transactions;
+    if (!submission.first_sent_at) submission.first_sent_at = now;
     const Workflow& workflow = submission.workflow;
     transaction.writes.push_back(
         {rows::kWorkflows + workflow.id, 0, EncodeRecord(workflow)});
     transaction.writes.push_back(
         {rows::NewMarker(workflow.id), kAnyVersion, ""});
   }
-  ++open_;
-  unanswered_ = true;
+  ++open_transactions_;
+  awaiting_answer_ = true;
   last_sent_ = now;
   table_.commit(std::move(transaction),
                 lifetime_.Guard([this, batch, now](const CommitAnswer& answer) {
-                  --open_;
-                  OnSent(batch, now, answer);
-                  if (MaySend()) SendWaiting();
+                  --open_transactions_;
+                  OnBatchAnswer(batch, now, answer);
+                  if (CanSend()) SendPending();
                 }));
 }
 
-void JobRepository::OnSent(const std::vector<Number>& batch, TimePoint sent_at,
-                     const CommitAnswer& answer) {
+void JobRepository::OnBatchAnswer(const std::vector<Number>& batch,
+                                  TimePoint sent_at,
+                                  const CommitAnswer& answer) {
   const CommitResult result = answer.result;
-  if (IsServed(result)) {
+  if (WasEvaluated(result)) {
     answer_times_.Add(now_() - sent_at);
-    pause_ = Duration(0);
+    retry_delay_ = Duration(0);
   }
   if (result == CommitResult::kNotApplied) {
-    pause_ = std::clamp(pause_ * 2, kFirstPause, kLongestPause);
-    not_before_ = now_() + pause_;
+    retry_delay_ = std::clamp(retry_delay_ * 2, kMinRetryDelay, kMaxRetryDelay);
+    retry_at_ = now_() + retry_delay_;
   }
-  if (result != CommitResult::kUnknown) unanswered_ = false;
+  if (result != CommitResult::kUnknown) awaiting_answer_ = false;
   // Without those that another transaction has ended meanwhile.
   std::vector<Number> left;
   for (const Number number : batch) {
     const auto it = submissions_.find(number);
     if (it == submissions_.end()) continue;
-    --it->second.open;
+    --it->second.open_transactions;
     left.push_back(number);
   }
   if (result == CommitResult::kConflict && batch.size() > 1) {
     OnBatchConflict(left, answer.standing);
     return;
   }
-  for (const Number number : left) OnSentOne(number, result);
+  for (const Number number : left) OnSubmissionAnswer(number, result);
 }
 
 void JobRepository::OnBatchConflict(const std::vector<Number>& batch,
-                              const std::vector<Row>& standing) {
+                                    const std::vector<Row>& standing) {
   if (standing.empty()) {
     // Each by itself tells which.
     for (const Number number : batch) Send({number});
@@ -235,7 +241,7 @@
   }
 }
 
-void JobRepository::OnSentOne(Number number, CommitResult result) {
+void JobRepository::OnSubmissionAnswer(Number number, CommitResult result) {
   Submission& submission = submissions_.at(number);
   switch (result) {
     case CommitResult::kCommitted:
@@ -246,18 +252,21 @@
       return;
     case CommitResult::kNotApplied:
       // One that an earlier transaction may have stored is tried again.
-      if (submission.open == 0 && !submission.unsure) FinishAsKnown(number);
+      if (submission.open_transactions == 0 && !submission.may_be_stored)
+        FinishUnanswered(number);
       return;
     case CommitResult::kUnknown:
-      submission.unsure = true;
-      if (table_silent_ && submission.open == 0) FinishAsKnown(number);
+      submission.may_be_stored = true;
+      if (table_unresponsive_ && submission.open_transactions == 0)
+        FinishUnanswered(number);
       return;
   }
 }
 
-void JobRepository::FinishAsKnown(Number number) {
-  Finish(number, submissions_.at(number).unsure ? SubmitResult::kUnknown
-                                                : SubmitResult::kRefused);
+void JobRepository::FinishUnanswered(Number number) {
+  Finish(number, submissions_.at(number).may_be_stored
+                     ? SubmitResult::kUnknown
+                     : SubmitResult::kRefused);
 }
 
 void JobRepository::Finish(Number number, SubmitResult result) {
@@ -267,7 +276,7 @@
 }
 
 void JobRepository::ReadRow(const std::string& key,
-                      std::function<void(std::optional<Row>)> done) {
+                            std::function<void(std::optional<Row>)> done) {
   table_.read(
       {key},
       lifetime_.Guard([done = std::move(done)](Result<std::vector<Row>> rows) {
@@ -280,7 +289,7 @@
 }
 
 void JobRepository::Cancel(const std::string& workflow,
-                     std::function<void(CancelResult)> done) {
+                           std::function<void(CancelResult)> done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& stored) {
             if (!stored) {
@@ -294,7 +303,7 @@
 }
 
 void JobRepository::StoreCancel(const std::string& workflow, uint64_t version,
-                          std::function<void(CancelResult)> done) {
+                                std::function<void(CancelResult)> done) {
   Transaction transaction;
   transaction.checks.push_back({rows::kWorkflows + workflow, version});
   transaction.writes.push_back({rows::kCancels + workflow, kAnyVersion, ""});
@@ -308,7 +317,7 @@
 void JobRepository::Load(const std::string& workflow, LoadDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& row) {
-            std::optional<Workflow> stored = WorkflowIn(row);
+            std::optional<Workflow> stored = ParseWorkflowRow(row);
             if (!stored) {
               done(std::nullopt, std::nullopt);
               return;
@@ -318,7 +327,7 @@
 }
 
 void JobRepository::LoadRecord(const std::string& id, Workflow workflow,
-                         LoadDone done) {
+                               LoadDone done) {
   ReadRow(rows::kProgress + id,
           [workflow = std::move(workflow),
            done = std::move(done)](const std::optional<Row>& progress) {
@@ -326,7 +335,7 @@
               done(std::nullopt, std::nullopt);
               return;
             }
-            done(workflow, RecordIn(*progress));
+            done(workflow, ParseProgressRow(*progress));
           });
 }
 
@@ -339,12 +348,12 @@
               done({false, std::nullopt});
               return;
             }
-            StateIfStored(workflow, cancel->version != 0, done);
+            ReadStateIfStored(workflow, cancel->version != 0, done);
           });
 }
 
-void JobRepository::StateIfStored(const std::string& workflow, bool cancelled,
-                            StateDone done) {
+void JobRepository::ReadStateIfStored(const std::string& workflow,
+                                      bool cancelled, StateDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, cancelled, done](const std::optional<Row>& stored) {
             if (!stored) {
@@ -352,20 +361,20 @@
             } else if (stored->version == 0) {
               done({true, std::nullopt});
             } else {
-              StateByProgress(workflow, cancelled, done);
+              ReadProgressState(workflow, cancelled, done);
             }
           });
 }
 
-void JobRepository::StateByProgress(const std::string& workflow, bool cancelled,
-                              StateDone done) {
+void JobRepository::ReadProgressState(const std::string& workflow,
+                                      bool cancelled, StateDone done) {
   ReadRow(rows::kProgress + workflow,
           [cancelled, done = std::move(done)](const std::optional<Row>& row) {
             if (!row) {
               done({false, std::nullopt});
               return;
             }
-            done({true, StateIn(*row, cancelled)});
+            done({true, StateFromRow(*row, cancelled)});
           });
 }
 
--- a/beamhill/scheduler/job_repository.h
+++ b/beamhill/scheduler/job_repository.h
@@ -4,18 +4,18 @@
 // A workflow is stored before it is accepted. A marker beside it tells the
 // owner of it should the direct notice be lost.
 //
-// Submissions that come while a transaction is open share the next one, so that
-// a slow table gets fewer of them. One whose answer is overdue is looked for,
-// and repeated where the table answers reads quickly: its rows must not be
-// there yet, so that a second one changes nothing.
+// Submissions that come while a transaction is open_transactions share the next
+// one, so that a slow table gets fewer of them. One whose answer is overdue is
+// looked for, and repeated where the table answers reads quickly: its rows must
+// not be there yet, so that a second one changes nothing.
 //
 // While the table is known to answer nobody, submissions are refused at once
 // and unsent: one that is sent ends without a clear answer, after which callers
 // can't try again.
 //
-//   JobRepository desk(table);
-//   desk.Submit(workflow, [](SubmitResult result) { ... });
-//   desk.Tick();                                            // each 50 ms
+//   JobRepository repository(table);
+//   repository.Submit(workflow, [](SubmitResult result) { ... });
+//   repository.Tick();                                            // each 50 ms
 #ifndef BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
 #define BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
 
@@ -70,7 +70,7 @@
   // long.
   void Tick();
   // Whether the table is known to answer nobody. Refuses what waits if so.
-  void SetTableSilent(bool silent);
+  void SetTableUnresponsive(bool silent);
   // Stores that the workflow is cancelled, if it is stored.
   void Cancel(const std::string& workflow,
               std::function<void(CancelResult)> done);
@@ -83,31 +83,34 @@
   struct Submission {
     Workflow workflow;
     std::vector<std::function<void(SubmitResult)>> done;
-    int open = 0;         // Transactions that hold it and are not answered.
-    bool unsure = false;  // One may have stored it, or may yet do so.
-    std::optional<TimePoint> first_sent;
+    int open_transactions =
+        0;  // Transactions that hold it and are not answered.
+    bool may_be_stored = false;  // One may have stored it, or may yet do so.
+    std::optional<TimePoint> first_sent_at;
   };
   using Number = uint64_t;  // Submissions are numbered as they come.
 
   Number Add(const Workflow& workflow);
   // Whether what waits may go: an answer has come since the last transaction,
   // or none is to be expected any more.
-  bool MaySend() const;
-  void Look();
-  void OnLook(Number number, TimePoint sent_at, const std::optional<Row>& row);
-  void SendWaiting();
+  bool CanSend() const;
+  void CheckStored();
+  void OnStoredCheck(Number number, TimePoint sent_at,
+                     const std::optional<Row>& row);
+  void SendPending();
   void Send(const std::vector<Number>& batch);
-  void OnSent(const std::vector<Number>& batch, TimePoint sent_at,
-              const CommitAnswer& answer);
+  void OnBatchAnswer(const std::vector<Number>& batch, TimePoint sent_at,
+                     const CommitAnswer& answer);
   // One of several is there already: ends those that are, by the answer. The
   // others go again, together.
   void OnBatchConflict(const std::vector<Number>& batch,
                        const std::vector<Row>& standing);
-  void OnSentOne(Number number, CommitResult result);
+  void OnSubmissionAnswer(Number number, CommitResult result);
   void Finish(Number number, SubmitResult result);
-  // Ends one that no open transaction holds, by what is known of it.
-  void FinishAsKnown(Number number);
-  std::vector<Number> Waiting() const;
+  // Ends one that no open_transactions transaction holds, by what is known of
+  // it.
+  void FinishUnanswered(Number number);
+  std::vector<Number> PendingSubmissions() const;
 
   // The row, with version 0 when there is none; nothing when the read failed.
   void ReadRow(const std::string& key,
@@ -116,24 +119,25 @@
   void StoreCancel(const std::string& workflow, uint64_t version,
                    std::function<void(CancelResult)> done);
   void LoadRecord(const std::string& id, Workflow workflow, LoadDone done);
-  void StateIfStored(const std::string& workflow, bool cancelled,
-                     StateDone done);
-  void StateByProgress(const std::string& workflow, bool cancelled,
-                       StateDone done);
+  void ReadStateIfStored(const std::string& workflow, bool cancelled,
+                         StateDone done);
+  void ReadProgressState(const std::string& workflow, bool cancelled,
+                         StateDone done);
 
   Table table_;
   std::function<TimePoint()> now_;
   std::map<Number, Submission> submissions_;
   Number last_number_ = 0;
   AnswerTimes answer_times_;
-  int open_ = 0;
-  bool unanswered_ = false;  // Nothing has come since the last transaction.
-  bool looking_ = false;
+  int open_transactions_ = 0;
+  bool awaiting_answer_ =
+      false;  // Nothing has come since the last transaction.
+  bool check_in_flight_ = false;
   TimePoint last_sent_{};
   // After refusals: a pause that grows, and its end.
-  Duration pause_{};
-  TimePoint not_before_{};
-  bool table_silent_ = false;
+  Duration retry_delay_{};
+  TimePoint retry_at_{};
+  bool table_unresponsive_ = false;
   Lifetime lifetime_;
 };
 
--- a/beamhill/scheduler/job_repository_test.cc
+++ b/beamhill/scheduler/job_repository_test.cc
@@ -15,7 +15,7 @@
 namespace beamhill {
 namespace {
 
-class JobDeskTest : public testing::Test {
+class JobRepositoryTest : public testing::Test {
  protected:
   static Workflow Job(const std::string& id) {
     Workflow workflow;
@@ -27,66 +27,66 @@
 
   SubmitResult Submit(const std::string& id) {
     SubmitResult result = SubmitResult::kUnknown;
-    desk_.Submit(Job(id), [&](SubmitResult r) { result = r; });
+    repository_.Submit(Job(id), [&](SubmitResult r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   CancelResult Cancel(const std::string& id) {
     CancelResult result = CancelResult::kUnknown;
-    desk_.Cancel(id, [&](CancelResult r) { result = r; });
+    repository_.Cancel(id, [&](CancelResult r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   StateResult State(const std::string& id) {
     StateResult result;
-    desk_.StoredState(id, [&](const StateResult& r) { result = r; });
+    repository_.StoredState(id, [&](const StateResult& r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   FaultyTable table_;
-  JobRepository desk_{table_.AsTable()};
+  JobRepository repository_{table_.AsTable()};
 };
 
-TEST_F(JobDeskTest, SameIdStaysOneJob) {
+TEST_F(JobRepositoryTest, SameIdStaysOneJob) {
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
   EXPECT_EQ(Submit("a"), SubmitResult::kAlreadyStored);
 }
 
 // Found on the large site (scale-2): all that came while the store had been
 // silent for seconds was sent, and ended without a clear answer.
-TEST_F(JobDeskTest, NothingIsSentToATableThatIsKnownToBeSilent) {
-  desk_.SetTableSilent(true);
+TEST_F(JobRepositoryTest, NothingIsSentToATableThatIsKnownToBeSilent) {
+  repository_.SetTableUnresponsive(true);
   EXPECT_EQ(Submit("a"), SubmitResult::kRefused);
   EXPECT_TRUE(table_.model().rows().empty());
-  desk_.SetTableSilent(false);
+  repository_.SetTableUnresponsive(false);
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
 }
 
 // What waits behind a transaction that the table has not answered is unsent.
-TEST_F(JobDeskTest, WhatWaitsBehindAnUnansweredCallIsRefusedUnsent) {
+TEST_F(JobRepositoryTest, WhatWaitsBehindAnUnansweredCallIsRefusedUnsent) {
   table_.set_fault(TableFault::kAnswerLost);
   SubmitResult first = SubmitResult::kAccepted;
   SubmitResult second = SubmitResult::kAccepted;
-  desk_.Submit(Job("a"), [&](SubmitResult r) { first = r; });
-  desk_.Submit(Job("b"), [&](SubmitResult r) { second = r; });
-  desk_.SetTableSilent(true);
+  repository_.Submit(Job("a"), [&](SubmitResult r) { first = r; });
+  repository_.Submit(Job("b"), [&](SubmitResult r) { second = r; });
+  repository_.SetTableUnresponsive(true);
   EXPECT_EQ(second, SubmitResult::kRefused);
   table_.Deliver();
   EXPECT_EQ(first, SubmitResult::kUnknown);
 }
 
 // A table whose answers a test gives by hand, or never.
-class JobDeskAnswersTest : public JobDeskTest {
+class JobRepositoryAnswersTest : public JobRepositoryTest {
  protected:
   struct Held {
     std::vector<std::string> workflows;
     CommitDone done;
   };
 
-  JobDeskAnswersTest() {
+  JobRepositoryAnswersTest() {
     Table table;
     table.commit = [this](const Transaction& transaction, CommitDone done) {
       Held held;
@@ -99,27 +99,29 @@
       held_.push_back(std::move(held));
     };
     table.read = [this](const std::vector<std::string>& keys, ReadAnswer done) {
-      if (!reads_answered_) return;
+      if (!answer_reads_) return;
       const TimePoint asked = now_;
-      looks_.push_back([this, asked, keys, done = std::move(done)] {
-        if (now_ - asked < read_takes_) return false;
+      pending_reads_.push_back([this, asked, keys, done = std::move(done)] {
+        if (now_ - asked < read_latency_) return false;
         done(table_.model().Read(keys));
         return true;
       });
     };
-    held_desk_ = std::make_unique<JobRepository>(table, [this] { return now_; });
+    held_repository_ =
+        std::make_unique<JobRepository>(table, [this] { return now_; });
   }
 
   void SubmitHeld(const std::string& id) {
-    held_desk_->Submit(Job(id), [this, id](SubmitResult r) { told_[id] = r; });
+    held_repository_->Submit(Job(id),
+                             [this, id](SubmitResult r) { results_[id] = r; });
   }
 
-  void Pass(Duration time) {
+  void Advance(Duration time) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += std::chrono::milliseconds(50)) {
-      held_desk_->Tick();
-      for (const auto& look : std::exchange(looks_, {})) {
-        if (!look()) looks_.push_back(look);
+      held_repository_->Tick();
+      for (const auto& pending_read : std::exchange(pending_reads_, {})) {
+        if (!pending_read()) pending_reads_.push_back(pending_read);
       }
     }
   }
@@ -129,28 +131,28 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  bool reads_answered_ = true;
-  Duration read_takes_{};
-  std::vector<std::function<bool()>> looks_;  // True once answered.
+  bool answer_reads_ = true;
+  Duration read_latency_{};
+  std::vector<std::function<bool()>> pending_reads_;  // True once answered.
   std::vector<Held> held_;
-  std::map<std::string, SubmitResult> told_;
-  std::unique_ptr<JobRepository> held_desk_;
+  std::map<std::string, SubmitResult> results_;
+  std::unique_ptr<JobRepository> held_repository_;
 };
 
 // It held up all that came behind it for the time-out of a call, 1.5 s; on a
-// day on which the store loses three answers in ten, most callers.
-TEST_F(JobDeskAnswersTest, LostAnswerHoldsUpNothingForLong) {
+// day on which the store loses three answers in ten, max_entries callers.
+TEST_F(JobRepositoryAnswersTest, LostAnswerHoldsUpNothingForLong) {
   SubmitHeld("a");
   SubmitHeld("b");
-  Pass(std::chrono::milliseconds(250));
+  Advance(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   EXPECT_THAT(held_[1].workflows, testing::ElementsAre("a", "b"));
   AnswerHeld(1, CommitResult::kConflict);
   ASSERT_THAT(held_, testing::SizeIs(4));
   AnswerHeld(2, CommitResult::kConflict);
   AnswerHeld(3, CommitResult::kCommitted);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAlreadyStored);
-  EXPECT_EQ(told_.at("b"), SubmitResult::kAccepted);
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
+  EXPECT_EQ(results_.at("b"), SubmitResult::kAccepted);
   // The first one's time-out changes nothing any more.
   AnswerHeld(0, CommitResult::kUnknown);
   SubmitHeld("c");
@@ -158,69 +160,72 @@
 }
 
 // Alone, each of them would take a turn of a slow table.
-TEST_F(JobDeskAnswersTest, OthersOfATransactionWithAStoredOneGoTogether) {
+TEST_F(JobRepositoryAnswersTest, OthersOfATransactionWithAStoredOneGoTogether) {
   SubmitHeld("a");
   for (const char* id : {"b", "c", "d"}) SubmitHeld(id);
   AnswerHeld(0, CommitResult::kCommitted);
   held_.at(1).done(
       {CommitResult::kConflict, {}, {{"workflows/c", "stored", 7}}});
-  EXPECT_EQ(told_.at("c"), SubmitResult::kAlreadyStored);
+  EXPECT_EQ(results_.at("c"), SubmitResult::kAlreadyStored);
   ASSERT_THAT(held_, testing::SizeIs(3));
   EXPECT_THAT(held_[2].workflows, testing::ElementsAre("b", "d"));
 }
 
 // What was sent can't be refused truthfully once the table turns out to answer
 // nobody.
-TEST_F(JobDeskAnswersTest, NothingMoreIsSentToATableThatAnswersNothing) {
-  reads_answered_ = false;
+TEST_F(JobRepositoryAnswersTest, NothingMoreIsSentToATableThatAnswersNothing) {
+  answer_reads_ = false;
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(200));
+  Advance(std::chrono::milliseconds(200));
   SubmitHeld("b");
-  Pass(std::chrono::milliseconds(700));
+  Advance(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(1));
-  held_desk_->SetTableSilent(true);
-  EXPECT_EQ(told_.at("b"), SubmitResult::kRefused);
-  EXPECT_EQ(told_.count("a"), 0);
+  held_repository_->SetTableUnresponsive(true);
+  EXPECT_EQ(results_.at("b"), SubmitResult::kRefused);
+  EXPECT_EQ(results_.count("a"), 0);
 }
 
 // Each transaction took 0.18 s of the table's time: repeats filled it until it
 // refused the owner's as well.
-TEST_F(JobDeskAnswersTest, SlowTableGetsNoTransactionTwice) {
-  read_takes_ = std::chrono::milliseconds(250);
+TEST_F(JobRepositoryAnswersTest, SlowTableGetsNoTransactionTwice) {
+  read_latency_ = std::chrono::milliseconds(250);
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(500));
+  Advance(std::chrono::milliseconds(500));
   EXPECT_THAT(held_, testing::SizeIs(1));
   AnswerHeld(0, CommitResult::kCommitted);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAccepted);
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAccepted);
   SubmitHeld("b");
   SubmitHeld("c");
-  Pass(std::chrono::milliseconds(700));
+  Advance(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(2));
 }
 
-TEST_F(JobDeskAnswersTest, WhatALookShowsNeedsNoRepeat) {
+TEST_F(JobRepositoryAnswersTest, WhatALookShowsNeedsNoRepeat) {
   SubmitHeld("a");
   table_.model().Commit({{}, {{"workflows/a", 0, "stored"}}});
-  Pass(std::chrono::milliseconds(250));
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAlreadyStored);
+  Advance(std::chrono::milliseconds(250));
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
   EXPECT_THAT(held_, testing::SizeIs(1));
 }
 
-TEST_F(JobDeskAnswersTest, SubmissionThatWasSentEndsWithinSecondsWhateverIs) {
+TEST_F(JobRepositoryAnswersTest,
+       SubmissionThatWasSentEndsWithinSecondsWhateverIs) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(2300));
-  EXPECT_EQ(told_.at("a"), SubmitResult::kUnknown);
+  Advance(std::chrono::milliseconds(2300));
+  EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
-TEST_F(JobDeskAnswersTest, TableThatRefusesIsAskedAgainAfterPausesThatGrow) {
+TEST_F(JobRepositoryAnswersTest,
+       TableThatRefusesIsAskedAgainAfterPausesThatGrow) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(250));  // Repeated once; so it is unsure.
+  Advance(std::chrono::milliseconds(
+      250));  // Repeated once; so it is may_be_stored.
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(0, CommitResult::kUnknown);
   AnswerHeld(1, CommitResult::kNotApplied);
   for (int i = 0; i < 20; ++i) {
     const size_t sent = held_.size();
-    Pass(std::chrono::milliseconds(50));
+    Advance(std::chrono::milliseconds(50));
     if (held_.size() > sent) {
       AnswerHeld(held_.size() - 1, CommitResult::kNotApplied);
     }
@@ -229,43 +234,43 @@
 }
 
 // The first may still take effect.
-TEST_F(JobDeskAnswersTest, RefusalOfARepeatedTransactionIsNoRefusal) {
+TEST_F(JobRepositoryAnswersTest, RefusalOfARepeatedTransactionIsNoRefusal) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(250));
+  Advance(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(1, CommitResult::kNotApplied);
-  EXPECT_EQ(told_.count("a"), 0);
+  EXPECT_EQ(results_.count("a"), 0);
   AnswerHeld(0, CommitResult::kUnknown);
-  EXPECT_EQ(told_.count("a"), 0);
-  held_desk_->SetTableSilent(true);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kUnknown);
+  EXPECT_EQ(results_.count("a"), 0);
+  held_repository_->SetTableUnresponsive(true);
+  EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
 // Found on the large site's incident: the store refused a transaction of ours
 // for its entries. It counts a condition, a row and a marker for each workflow.
-TEST_F(JobDeskTest, TransactionsStayBelowTheTablesLimit) {
-  constexpr size_t kMostEntries = 100;
-  size_t most = 0;
+TEST_F(JobRepositoryTest, TransactionsStayBelowTheTablesLimit) {
+  constexpr size_t kMaxEntries = 100;
+  size_t max_entries = 0;
   Table counting = table_.AsTable();
   counting.commit = [&](Transaction transaction, CommitDone done) {
     size_t entries = transaction.checks.size() + transaction.writes.size();
     for (const RowWrite& write : transaction.writes) {
       if (write.expected_version != kAnyVersion) ++entries;
     }
-    most = std::max(most, entries);
+    max_entries = std::max(max_entries, entries);
     table_.AsTable().commit(std::move(transaction), std::move(done));
   };
-  JobRepository desk(counting);
+  JobRepository repository(counting);
   int accepted = 0;
   for (int i = 0; i < 90; ++i) {
-    desk.Submit(Job("j" + std::to_string(i)), [&](SubmitResult result) {
+    repository.Submit(Job("j" + std::to_string(i)), [&](SubmitResult result) {
       accepted += static_cast<int>(result == SubmitResult::kAccepted);
     });
   }
   table_.Deliver();
   EXPECT_EQ(accepted, 90);
-  EXPECT_LE(most, kMostEntries);
-  EXPECT_GT(most, kMostEntries / 2);  // They do share transactions.
+  EXPECT_LE(max_entries, kMaxEntries);
+  EXPECT_GT(max_entries, kMaxEntries / 2);  // They do share transactions.
 }
 
 struct FaultCase {
@@ -274,11 +279,11 @@
   SubmitResult submitted_again;
 };
 
-class JobDeskFaultTest : public JobDeskTest,
-                         public testing::WithParamInterface<FaultCase> {};
+class JobRepositoryFaultTest : public JobRepositoryTest,
+                               public testing::WithParamInterface<FaultCase> {};
 
 // A refusal is said only of what was not and will not be stored.
-TEST_P(JobDeskFaultTest, AnswerIsTrueOfTheTable) {
+TEST_P(JobRepositoryFaultTest, AnswerIsTrueOfTheTable) {
   table_.set_fault(GetParam().fault);
   EXPECT_EQ(Submit("a"), GetParam().submitted);
   table_.set_fault(TableFault::kNone);
@@ -286,7 +291,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Faults, JobDeskFaultTest,
+    Faults, JobRepositoryFaultTest,
     testing::Values(FaultCase{TableFault::kDown, SubmitResult::kRefused,
                               SubmitResult::kAccepted},
                     FaultCase{TableFault::kAnswerLost, SubmitResult::kUnknown,
@@ -294,11 +299,12 @@
                     FaultCase{TableFault::kLate, SubmitResult::kUnknown,
                               SubmitResult::kAccepted}));
 
-TEST_F(JobDeskTest, SubmissionsShareATransactionAndAreToldApart) {
+TEST_F(JobRepositoryTest, SubmissionsShareATransactionAndAreToldApart) {
   EXPECT_EQ(Submit("b"), SubmitResult::kAccepted);
   std::map<std::string, SubmitResult> results;
   for (const char* id : {"a", "c", "d", "b", "e"}) {
-    desk_.Submit(Job(id), [&results, id](SubmitResult r) { results[id] = r; });
+    repository_.Submit(Job(id),
+                       [&results, id](SubmitResult r) { results[id] = r; });
   }
   table_.Deliver();
   EXPECT_EQ(results.size(), 5);
@@ -309,14 +315,14 @@
   }
 }
 
-TEST_F(JobDeskTest, CancelIsStoredAndShown) {
+TEST_F(JobRepositoryTest, CancelIsStoredAndShown) {
   Submit("a");
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(State("a").state, WorkflowState::kCancelled);
 }
 
-TEST_F(JobDeskTest, UnknownJobIsToldApartFromAnUnansweringTable) {
+TEST_F(JobRepositoryTest, UnknownJobIsToldApartFromAnUnansweringTable) {
   EXPECT_EQ(Cancel("a"), CancelResult::kNoSuchJob);
   EXPECT_TRUE(State("a").answered);
   EXPECT_FALSE(State("a").state);
--- a/beamhill/scheduler/pending_calls.h
+++ b/beamhill/scheduler/pending_calls.h
@@ -1,6 +1,6 @@
 // Calls to another process that wait for their answers, by number.
 //
-//   OpenCalls<Answer> calls(loop);
+//   PendingCalls<Answer> calls(loop);
 //   calls.Add(7, timeout, [](std::optional<Answer> answer) { ... });
 //   calls.Finish(7, answer);
 #ifndef BEAMHILL_SCHEDULER_PENDING_CALLS_H_
@@ -17,15 +17,15 @@
 namespace beamhill {
 
 template <typename T>
-class OpenCalls {
+class PendingCalls {
  public:
   // Gets nothing when no answer came in time.
-  using Done = std::function<void(std::optional<T>)>;
+  using Callback = std::function<void(std::optional<T>)>;
 
-  explicit OpenCalls(EventLoop& loop) : loop_(loop) {}
+  explicit PendingCalls(EventLoop& loop) : loop_(loop) {}
 
   // `done` runs once: at the answer, or after the timeout.
-  void Add(uint64_t id, Duration timeout, Done done) {
+  void Add(uint64_t id, Duration timeout, Callback done) {
     Call& call = calls_[id];
     call.done = std::move(done);
     call.timeout =
@@ -36,14 +36,14 @@
   void Finish(uint64_t id, std::optional<T> answer) {
     const auto it = calls_.find(id);
     if (it == calls_.end()) return;
-    const Done done = std::move(it->second.done);
+    const Callback done = std::move(it->second.done);
     calls_.erase(it);
     done(std::move(answer));
   }
 
  private:
   struct Call {
-    Done done;
+    Callback done;
     Timer timeout;
   };
 
--- a/beamhill/scheduler/round_robin_test.cc
+++ b/beamhill/scheduler/round_robin_test.cc
@@ -13,40 +13,40 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
-TEST(InTurnTest, GoesRoundInParts) {
+TEST(RoundRobinTest, GoesRoundInParts) {
   const std::map<int, char> map = {{1, 'a'}, {2, 'b'}, {5, 'c'}};
   int cursor = 0;
-  EXPECT_THAT(NextInTurn(map, cursor, 2), ElementsAre(1, 2));
-  EXPECT_THAT(NextInTurn(map, cursor, 2), ElementsAre(5, 1));
-  EXPECT_THAT(NextInTurn(map, cursor, 9), ElementsAre(2, 5, 1));
+  EXPECT_THAT(NextRoundRobin(map, cursor, 2), ElementsAre(1, 2));
+  EXPECT_THAT(NextRoundRobin(map, cursor, 2), ElementsAre(5, 1));
+  EXPECT_THAT(NextRoundRobin(map, cursor, 9), ElementsAre(2, 5, 1));
 }
 
-TEST(InTurnTest, EmptyMapGivesNothing) {
+TEST(RoundRobinTest, EmptyMapGivesNothing) {
   int cursor = 3;
-  EXPECT_THAT(NextInTurn(std::map<int, char>(), cursor, 2), IsEmpty());
+  EXPECT_THAT(NextRoundRobin(std::map<int, char>(), cursor, 2), IsEmpty());
 }
 
 // Keys come and go meanwhile.
-TEST(InTurnTest, GoesOnBehindAKeyThatHasGone) {
+TEST(RoundRobinTest, GoesOnBehindAKeyThatHasGone) {
   std::map<int, char> map = {{1, 'a'}, {2, 'b'}, {5, 'c'}};
   int cursor = 0;
-  NextInTurn(map, cursor, 2);
+  NextRoundRobin(map, cursor, 2);
   map.erase(2);
-  EXPECT_THAT(NextInTurn(map, cursor, 1), ElementsAre(5));
+  EXPECT_THAT(NextRoundRobin(map, cursor, 1), ElementsAre(5));
 }
 
 // An owner of hundreds of schedulers tells each of all others within some
 // seconds of heartbeats, each of which holds a few.
-TEST(InTurnTest, EveryKeyHasItsTurn) {
+TEST(RoundRobinTest, EveryKeyHasItsTurn) {
   std::map<int, char> map;
   for (int i = 0; i < 184; ++i) map[i] = 'x';
   std::set<int> seen;
   int cursor = 77;
-  constexpr size_t kPart = 8;
+  constexpr size_t kBatchSize = 8;
   for (int turn = 0; turn < 23; ++turn) {
-    const auto part = NextInTurn(map, cursor, kPart);
-    EXPECT_THAT(part, SizeIs(kPart));
-    seen.insert(part.begin(), part.end());
+    const auto batch = NextRoundRobin(map, cursor, kBatchSize);
+    EXPECT_THAT(batch, SizeIs(kBatchSize));
+    seen.insert(batch.begin(), batch.end());
   }
   EXPECT_THAT(seen, SizeIs(184));
 }
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -12,17 +12,17 @@
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(300);
 // An owner's link that is silent for so long is dialed anew.
-constexpr Duration kOwnerSilence = std::chrono::milliseconds(2500);
+constexpr Duration kOwnerLinkTimeout = std::chrono::milliseconds(2500);
 // The table is asked for a sign of life when it has given none for so long.
 constexpr Duration kProbeAfter = std::chrono::milliseconds(400);
 // It counts as out of reach after so long: longer than a call's timeout.
-constexpr Duration kStoreSilence = std::chrono::milliseconds(1800);
+constexpr Duration kLocalTableSilence = std::chrono::milliseconds(1800);
 // An owner has a transaction or a probe answered each 0.4 s, and says so each
 // 0.3 s: when it has been without for so long, and this process as well, the
 // table answers nobody.
-constexpr Duration kSilentForAll = std::chrono::milliseconds(900);
+constexpr Duration kGlobalTableSilence = std::chrono::milliseconds(900);
 // Added to inherited bounds for messages on their way.
-constexpr Duration kBoundMargin = std::chrono::milliseconds(500);
+constexpr Duration kMessageDelayMargin = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -44,10 +44,10 @@
       hooks_(std::move(hooks)),
       random_(RandomSeed()),
       incarnation_(random_() >> 1),
-      desk_(table),
-      questions_(loop),
+      repository_(table),
+      owner_queries_(loop),
       relays_(loop),
-      queries_(loop, QueryHooks()) {
+      queried_peers_(loop, QueryHooks()) {
   owner_metrics_.commit = &metrics.AddLatency(
       "beamhill_commit_latency", "From sending a transaction to its answer.");
   owner_metrics_.starts =
@@ -73,7 +73,7 @@
       "beamhill_evacuated_halls", "Data halls that are to be emptied.", [this] {
         return static_cast<double>(hooks_.evacuations().halls.size());
       });
-  MakeKeeper();
+  CreateKeeper();
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
 }
 
@@ -87,7 +87,7 @@
   return Ok{};
 }
 
-void Scheduler::MakeKeeper() {
+void Scheduler::CreateKeeper() {
   OwnershipKeeperOptions options;
   options.name = settings_.name;
   options.incarnation = incarnation_;
@@ -106,7 +106,7 @@
   };
   hooks.on_follow = [this](const OwnerRecord& owner) { Follow(owner); };
   hooks.on_taken = [this](uint64_t epoch, bool released, bool first) {
-    OnTaken(epoch, released, first);
+    OnOwnershipTaken(epoch, released, first);
   };
   hooks.on_lost = [this] { retired_owner_ = std::move(owner_); };
   hooks.log = [](const std::string& event, const std::string& detail) {
@@ -116,22 +116,23 @@
       std::make_unique<OwnershipKeeper>(options, table_, std::move(hooks));
 }
 
-void Scheduler::OnTaken(uint64_t epoch, bool released, bool first) {
+void Scheduler::OnOwnershipTaken(uint64_t epoch, bool released, bool first) {
   if (owner_peer_) retired_peers_.push_back(std::move(owner_peer_));
-  taken_at_ = BootClock::now();
-  peer_served_since_.reset();
+  owned_since_ = BootClock::now();
+  peer_answered_since_.reset();
   WorkOwnerOptions options;
   options.epoch = epoch;
   options.lease_term = settings_.lease_term;
   options.first = first;
-  options.inherited_bound = settings_.lease_term + kBoundMargin;
+  options.inherited_bound = settings_.lease_term + kMessageDelayMargin;
   if (!released) options.inherited_bound += settings_.authority_term;
   owner_ = std::make_unique<WorkOwner>(loop_, table_, *keeper_, options,
                                        hooks_.advisor, hooks_.evacuations,
                                        owner_metrics_);
   // Stored workflows are found by loading.
   notices_.clear();
-  if (!followed_.address.empty()) known_peers_.insert(followed_.address);
+  if (!followed_owner_.address.empty())
+    known_peers_.insert(followed_owner_.address);
   retired_announcements_ = std::move(announcements_);
   Announce();
   AdvanceSubmissions(/*owner_lost=*/true);
@@ -140,11 +141,11 @@
 void Scheduler::Follow(const OwnerRecord& owner) {
   const Result<Address> address = ParseAddress(owner.address);
   if (!IsOk(address)) return;
-  followed_ = owner;
+  followed_owner_ = owner;
   Log(LogLevel::kInfo, "following",
       {{"owner", owner.owner}, {"epoch", owner.epoch}});
   if (owner_peer_) retired_peers_.push_back(std::move(owner_peer_));
-  owner_store_answers_ = false;
+  owner_table_responds_ = false;
   DialedPeerHooks hooks;
   hooks.on_open = [this] {
     owner_peer_->Send(Heartbeat());
@@ -155,7 +156,8 @@
   };
   hooks.on_down = [this](bool was_open) {
     if (!was_open) return;
-    Log(LogLevel::kWarning, "owner_unlinked", {{"owner", followed_.owner}});
+    Log(LogLevel::kWarning, "owner_unlinked",
+        {{"owner", followed_owner_.owner}});
     AdvanceSubmissions(/*owner_lost=*/true);
   };
   owner_peer_ =
@@ -164,11 +166,12 @@
 }
 
 PeerView Scheduler::ViewOf(const Peer& peer) {
-  return {BootClock::now() - peer.heard_at, peer.last.store_silence,
+  return {BootClock::now() - peer.heartbeat_at, peer.last.store_silence,
           peer.last.strength};
 }
 
-const Scheduler::Peer* Scheduler::Successor(Duration served_within) const {
+const Scheduler::Peer* Scheduler::FindSuccessor(
+    Duration max_store_silence) const {
   std::vector<PeerView> views;
   std::vector<const Peer*> candidates;
   for (const auto& [link, peer] : peers_) {
@@ -176,37 +179,38 @@
     views.push_back(ViewOf(peer));
     candidates.push_back(&peer);
   }
-  const auto best = BestServedPeer(views, served_within);
+  const auto best = BestSuccessor(views, max_store_silence);
   return best ? candidates[*best] : nullptr;
 }
 
-void Scheduler::OfferHandOver(uint64_t epoch, Duration served_within) {
-  const Peer* peer = Successor(served_within);
+void Scheduler::OfferHandOver(uint64_t epoch, Duration max_store_silence) {
+  const Peer* peer = FindSuccessor(max_store_silence);
   if (peer == nullptr) return;
   Log(LogLevel::kInfo, "handing_over",
       {{"to", peer->last.name}, {"epoch", epoch}});
   peer->link->Send(EncodeDispatch(HandOver{epoch}));
 }
 
-void Scheduler::HandOverIfDue() {
+void Scheduler::MaybeHandOver() {
   if (!keeper_->owns()) return;
   const TimePoint now = BootClock::now();
-  OwnerView own = {hooks_.store_silence(), now - taken_at_,
+  OwnerView own = {hooks_.store_silence(), now - owned_since_,
                    settings_.host_capacity, Duration(0)};
-  const Duration served_within =
-      own.store_silence < kProbeAfter ? kServedInCalm : kServedJustNow;
-  const Peer* peer = Successor(served_within);
+  const Duration max_store_silence = own.store_silence < kProbeAfter
+                                         ? kMaxStoreSilenceHealthy
+                                         : kMaxStoreSilenceDegraded;
+  const Peer* peer = FindSuccessor(max_store_silence);
   if (peer == nullptr) {
-    peer_served_since_.reset();
+    peer_answered_since_.reset();
     return;
   }
-  if (!peer_served_since_) {
-    peer_served_since_ = now;
+  if (!peer_answered_since_) {
+    peer_answered_since_ = now;
     // The store may be back for all; an earlier probe may be lost.
     probed_at_ = TimePoint{};
-    ProbeStore();
+    ProbeTable();
   }
-  own.peer_served_for = now - *peer_served_since_;
+  own.peer_answered_for = now - *peer_answered_since_;
   if (!ShouldHandOver(own, ViewOf(*peer))) return;
   Log(LogLevel::kInfo, "giving_way",
       {{"to", peer->last.name},
@@ -215,16 +219,16 @@
        {"peer_strength", peer->last.strength}});
   const uint64_t epoch = keeper_->epoch();
   keeper_->HandOverTo();
-  OfferHandOver(epoch, served_within);
+  OfferHandOver(epoch, max_store_silence);
 }
 
-bool Scheduler::StoreAnswers() const {
-  return hooks_.store_silence() < kStoreSilence;
+bool Scheduler::TableResponds() const {
+  return hooks_.store_silence() < kLocalTableSilence;
 }
 
 // A call to a silent table may never be answered, also once it is back: so the
 // next probe doesn't wait for the last one.
-void Scheduler::ProbeStore() {
+void Scheduler::ProbeTable() {
   const TimePoint now = BootClock::now();
   if (now - probed_at_ < kProbeAfter) return;
   if (hooks_.store_silence() < kProbeAfter) return;
@@ -232,12 +236,12 @@
   table_.read({rows::kOwner}, [](const Result<std::vector<Row>>&) {});
 }
 
-bool Scheduler::StoreIsSilent() const {
-  if (hooks_.store_silence() < kSilentForAll) return false;
+bool Scheduler::IsTableUnresponsive() const {
+  if (hooks_.store_silence() < kGlobalTableSilence) return false;
   if (keeper_->owns()) return true;
   const TimePoint now = BootClock::now();
-  const bool owner_heard = now - owner_heard_at_ < kOwnerSilence;
-  return owner_heard && now - owner_served_at_ >= kSilentForAll;
+  const bool owner_heard = now - owner_heartbeat_at_ < kOwnerLinkTimeout;
+  return owner_heard && now - owner_table_answer_at_ >= kGlobalTableSilence;
 }
 
 void Scheduler::Tick() {
@@ -246,22 +250,22 @@
   retired_announcements_.reset();
   const TimePoint now = BootClock::now();
   keeper_->Tick();
-  const bool silent = StoreIsSilent();
-  if (keeper_->owns() || silent) ProbeStore();
-  desk_.SetTableSilent(silent);
-  desk_.Tick();
+  const bool silent = IsTableUnresponsive();
+  if (keeper_->owns() || silent) ProbeTable();
+  repository_.SetTableUnresponsive(silent);
+  repository_.Tick();
   AdvanceSubmissions(/*owner_lost=*/false);
-  HandOverIfDue();
+  MaybeHandOver();
   QueryPeers(now);
-  DropOldNotices(now);
-  const bool beat_due = now - last_heartbeat_ >= kHeartbeatInterval;
-  if (beat_due) {
+  ExpireNotices(now);
+  const bool heartbeat_due = now - last_heartbeat_ >= kHeartbeatInterval;
+  if (heartbeat_due) {
     last_heartbeat_ = now;
-    if (!queries_.empty()) queries_.Send(Heartbeat());
+    if (!queried_peers_.empty()) queried_peers_.Send(Heartbeat());
   }
   if (!owner_peer_) return;
-  owner_peer_->CloseIfSilent(kOwnerSilence);
-  if (beat_due) owner_peer_->Send(Heartbeat());
+  owner_peer_->CloseIfSilent(kOwnerLinkTimeout);
+  if (heartbeat_due) owner_peer_->Send(Heartbeat());
 }
 
 void Scheduler::Leave(std::function<void()> done) {
@@ -273,7 +277,7 @@
     const uint64_t epoch = keeper_->epoch();
     keeper_->Release([this, epoch, done] {
       retired_owner_ = std::move(owner_);
-      OfferHandOver(epoch, kServedInCalm);
+      OfferHandOver(epoch, kMaxStoreSilenceHealthy);
       done();
     });
   });
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -98,9 +98,9 @@
   struct Peer {
     Link* link = nullptr;
     SchedulerHeartbeat last;
-    TimePoint heard_at{};
+    TimePoint heartbeat_at{};
     // The last of its peers that this owner has told it of.
-    Link* told_last = nullptr;
+    Link* last_peer_sent = nullptr;
   };
   struct OpenSubmission {
     SubmitCall call;
@@ -117,34 +117,35 @@
   Scheduler(EventLoop& loop, const SchedulerSettings& settings, Table table,
             SchedulerHooks hooks, Metrics& metrics);
   Status Listen();
-  void MakeKeeper();
+  void CreateKeeper();
   // This process owns the work now. `released`: the owner before gave it up;
   // `first`: there was none.
-  void OnTaken(uint64_t epoch, bool released, bool first);
+  void OnOwnershipTaken(uint64_t epoch, bool released, bool first);
   // Dials the new owner.
   void Follow(const OwnerRecord& owner);
   // The best peer to give the work to, by what it said lately; or null.
-  const Peer* Successor(Duration served_within) const;
+  const Peer* FindSuccessor(Duration max_store_silence) const;
   static PeerView ViewOf(const Peer& peer);
   // Tells such a peer that this process has stopped acting under the epoch.
-  void OfferHandOver(uint64_t epoch, Duration served_within);
-  void HandOverIfDue();
+  void OfferHandOver(uint64_t epoch, Duration max_store_silence);
+  void MaybeHandOver();
   // Asks the table for a sign of life when it has given none for a while.
-  void ProbeStore();
+  void ProbeTable();
   // Whether the table answers neither this process nor the owner.
-  bool StoreIsSilent() const;
-  bool StoreAnswers() const;
+  bool IsTableUnresponsive() const;
+  bool TableResponds() const;
   void Tick();
 
   // In scheduler_peers.cc.
   SchedulerHeartbeat Heartbeat() const;
   // The answer to that peer's; an owner tells it of some others.
-  SchedulerHeartbeat HeartbeatTo(Peer& peer);
+  SchedulerHeartbeat HeartbeatFor(Peer& peer);
   // Of the schedulers that this process knows of, without itself.
   std::vector<Address> KnownAddresses() const;
   // Sends the service settings to a peer whose version is older.
-  void ShareSettings(uint64_t peers_version,
-                     const std::function<void(const DispatchMessage&)>& send);
+  void SendSettingsIfNewer(
+      uint64_t peer_version,
+      const std::function<void(const DispatchMessage&)>& send);
   void OnOwnerMessage(const DispatchMessage& message);
   LinkHooks OnAccept(Link& link);
   void OnPeerFrame(Link& link, std::string_view frame);
@@ -158,7 +159,7 @@
   // in the table.
   void Notify(const DispatchMessage& message, const std::string& key);
   void SendNotices();
-  void DropOldNotices(TimePoint now);
+  void ExpireNotices(TimePoint now);
   // While neither the table nor an owner is heard, asks other schedulers for
   // newer service settings and for the owner: some at a time, and others while
   // the table answers none of these either.
@@ -170,26 +171,27 @@
   // In scheduler_calls.cc.
   void AnswerQuestion(Link& link, const Question& question);
   // Asks the owner; `done` gets nothing when there is no answer.
-  void Ask(Question question, std::function<void(std::optional<Answer>)> done);
+  void QueryOwner(Question question,
+                  std::function<void(std::optional<Answer>)> done);
   bool CanRelay() const;
-  OwnerReach Reach() const;
+  OwnerReachability CheckOwnerReachability() const;
   // Tries what is to be tried next, or answers the caller.
   void AdvanceSubmission(uint64_t number);
   // All of them. `owner_lost`: the link to the owner that was asked is gone.
   void AdvanceSubmissions(bool owner_lost);
-  void TryToStore(uint64_t number, SubmitWay way);
-  void OnSubmitResult(uint64_t number, SubmitWay way, SubmitResult result);
+  void StartAttempt(uint64_t number, SubmitRoute route);
+  void OnSubmitResult(uint64_t number, SubmitRoute route, SubmitResult result);
   // Sends the call to the owner; `done` gets the number of its result.
   void Relay(uint64_t id, const DispatchMessage& call, Duration timeout,
              std::function<void(std::optional<uint8_t>)> done);
-  void ServeRelay(Link* link, const RelayedSubmit& call);
-  void ServeRelay(Link* link, const RelayedCancel& call);
-  void AnswerRelay(Link* link, uint64_t id, uint8_t result);
-  void SubmitHere(const Workflow& workflow,
-                  std::function<void(SubmitResult)> done);
-  void CancelHere(const std::string& workflow,
-                  std::function<void(CancelResult)> done);
-  void TellOwner(const Workflow& workflow);
+  void HandleRelay(Link* link, const RelayedSubmit& call);
+  void HandleRelay(Link* link, const RelayedCancel& call);
+  void SendRelayResult(Link* link, uint64_t id, uint8_t result);
+  void SubmitLocally(const Workflow& workflow,
+                     std::function<void(SubmitResult)> done);
+  void CancelLocally(const std::string& workflow,
+                     std::function<void(CancelResult)> done);
+  void NotifyOwner(const Workflow& workflow);
 
   EventLoop& loop_;
   SchedulerSettings settings_;
@@ -197,39 +199,39 @@
   SchedulerHooks hooks_;
   std::mt19937_64 random_;
   uint64_t incarnation_;
-  JobRepository desk_;
+  JobRepository repository_;
   WorkOwnerMetrics owner_metrics_;
   std::unique_ptr<OwnershipKeeper> keeper_;
   std::unique_ptr<WorkOwner> owner_;
   std::unique_ptr<LinkListener> listener_;
   std::map<Link*, Peer> peers_;
   std::unique_ptr<DialedPeer> owner_peer_;
-  OwnerRecord followed_;
+  OwnerRecord followed_owner_;
   // Notices that no owner has confirmed yet, by a key for each.
   std::map<std::string, Notice> notices_;
   std::map<uint64_t, OpenSubmission> submissions_;
-  OpenCalls<Answer> questions_;
-  OpenCalls<uint8_t> relays_;  // Answered by the number of the result.
+  PendingCalls<Answer> owner_queries_;
+  PendingCalls<uint8_t> relays_;  // Answered by the number of the result.
   // Numbers questions, submissions and relayed calls.
-  uint64_t next_call_ = 1;
-  bool owner_store_answers_ = false;
+  uint64_t next_call_id_ = 1;
+  bool owner_table_responds_ = false;
   // When the table last answered the owner, by the owner's word.
-  TimePoint owner_served_at_{};
-  TimePoint owner_heard_at_{};
-  TimePoint taken_at_{};  // When this process took the ownership.
+  TimePoint owner_table_answer_at_{};
+  TimePoint owner_heartbeat_at_{};
+  TimePoint owned_since_{};  // When this process took the ownership.
   // While it owns the work: since when a peer is served by the table.
-  std::optional<TimePoint> peer_served_since_;
+  std::optional<TimePoint> peer_answered_since_;
   TimePoint probed_at_{};
-  DialedPeers queries_;  // While neither the table nor an owner is heard.
-  std::vector<Address> unasked_;  // The next of them.
+  DialedPeers queried_peers_;  // While neither the table nor an owner is heard.
+  std::vector<Address> unqueried_peers_;  // The next of them.
   // When they were dialed, or one that the table answers has answered.
-  TimePoint query_helped_at_{};
+  TimePoint query_progress_at_{};
   // Addresses of schedulers, as the owner told them.
   std::set<std::string> known_peers_;
   // Links on which this process makes its ownership known.
   std::unique_ptr<DialedPeers> announcements_;
   std::unique_ptr<DialedPeers> retired_announcements_;
-  Timer end_announcements_;
+  Timer announcement_timer_;
   TimePoint last_heartbeat_{};
   Timer tick_;
   std::vector<std::unique_ptr<DialedPeer>> retired_peers_;
--- a/beamhill/scheduler/scheduler_calls.cc
+++ b/beamhill/scheduler/scheduler_calls.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kCancelRelayTimeout = std::chrono::milliseconds(700);
-// Above the time after which the owner's desk gives a submission up.
+// Above the time after which the owner's repository gives a submission up.
 constexpr Duration kSubmitRelayTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kQuestionTimeout = std::chrono::milliseconds(400);
 
@@ -31,18 +31,18 @@
   link.Send(EncodeDispatch(answer));
 }
 
-void Scheduler::Ask(Question question,
-                    std::function<void(std::optional<Answer>)> done) {
+void Scheduler::QueryOwner(Question question,
+                           std::function<void(std::optional<Answer>)> done) {
   if (!owner_peer_ || !owner_peer_->is_open()) {
     done(std::nullopt);
     return;
   }
-  question.id = next_call_++;
-  questions_.Add(question.id, kQuestionTimeout, std::move(done));
+  question.id = next_call_id_++;
+  owner_queries_.Add(question.id, kQuestionTimeout, std::move(done));
   owner_peer_->Send(question);
 }
 
-void Scheduler::TellOwner(const Workflow& workflow) {
+void Scheduler::NotifyOwner(const Workflow& workflow) {
   if (owner_) {
     owner_->OnWorkflowStored(workflow);
   } else {
@@ -50,24 +50,24 @@
   }
 }
 
-void Scheduler::SubmitHere(const Workflow& workflow,
-                           std::function<void(SubmitResult)> done) {
-  desk_.Submit(workflow, [this, workflow, done](SubmitResult result) {
-    if (result == SubmitResult::kAccepted) TellOwner(workflow);
+void Scheduler::SubmitLocally(const Workflow& workflow,
+                              std::function<void(SubmitResult)> done) {
+  repository_.Submit(workflow, [this, workflow, done](SubmitResult result) {
+    if (result == SubmitResult::kAccepted) NotifyOwner(workflow);
     if (result == SubmitResult::kAlreadyStored) {
       // Perhaps by a transaction of ours without an answer: the owner reads
       // under whom it was stored.
       Workflow stored = workflow;
       stored.offered_to = 0;
-      TellOwner(stored);
+      NotifyOwner(stored);
     }
     done(result);
   });
 }
 
-void Scheduler::CancelHere(const std::string& workflow,
-                           std::function<void(CancelResult)> done) {
-  desk_.Cancel(workflow, [this, workflow, done](CancelResult result) {
+void Scheduler::CancelLocally(const std::string& workflow,
+                              std::function<void(CancelResult)> done) {
+  repository_.Cancel(workflow, [this, workflow, done](CancelResult result) {
     if (result == CancelResult::kCancelled) {
       if (owner_) {
         owner_->OnCancelStored(workflow);
@@ -80,19 +80,19 @@
 }
 
 bool Scheduler::CanRelay() const {
-  return owner_peer_ && owner_peer_->is_open() && owner_store_answers_;
+  return owner_peer_ && owner_peer_->is_open() && owner_table_responds_;
 }
 
-OwnerReach Scheduler::Reach() const {
+OwnerReachability Scheduler::CheckOwnerReachability() const {
   const TimePoint now = BootClock::now();
-  return {owner_peer_ && owner_peer_->is_open(), now - owner_heard_at_,
-          now - owner_served_at_};
+  return {owner_peer_ && owner_peer_->is_open(), now - owner_heartbeat_at_,
+          now - owner_table_answer_at_};
 }
 
 void Scheduler::Submit(Workflow workflow,
                        std::function<void(SubmitResult)> done) {
   workflow.offered_to = keeper_->epoch();
-  const uint64_t number = next_call_++;
+  const uint64_t number = next_call_id_++;
   OpenSubmission& submission = submissions_[number];
   submission.since = BootClock::now();
   submission.workflow = std::move(workflow);
@@ -104,9 +104,10 @@
   const auto it = submissions_.find(number);
   if (it == submissions_.end()) return;
   const Duration waited = BootClock::now() - it->second.since;
-  if (const auto way = it->second.call.Next(Reach(), waited); way) {
+  if (const auto route = it->second.call.Next(CheckOwnerReachability(), waited);
+      route) {
     // It may end in here.
-    TryToStore(number, *way);
+    StartAttempt(number, *route);
     AdvanceSubmission(number);
     return;
   }
@@ -126,52 +127,52 @@
   for (const uint64_t number : numbers) AdvanceSubmission(number);
 }
 
-void Scheduler::TryToStore(uint64_t number, SubmitWay way) {
+void Scheduler::StartAttempt(uint64_t number, SubmitRoute route) {
   const Workflow& workflow = submissions_.at(number).workflow;
-  if (way == SubmitWay::kHere) {
-    SubmitHere(workflow, [this, number](SubmitResult result) {
-      OnSubmitResult(number, SubmitWay::kHere, result);
+  if (route == SubmitRoute::kLocal) {
+    SubmitLocally(workflow, [this, number](SubmitResult result) {
+      OnSubmitResult(number, SubmitRoute::kLocal, result);
     });
     return;
   }
-  const uint64_t id = next_call_++;
+  const uint64_t id = next_call_id_++;
   submissions_.at(number).relay = id;
   Relay(id, RelayedSubmit{id, workflow}, kSubmitRelayTimeout,
         [this, number, id](std::optional<uint8_t> result) {
           const auto it = submissions_.find(number);
           // An earlier owner's says nothing of a later one.
           if (it == submissions_.end() || it->second.relay != id) return;
-          OnSubmitResult(number, SubmitWay::kOwner,
+          OnSubmitResult(number, SubmitRoute::kOwner,
                          result ? static_cast<SubmitResult>(*result)
                                 : SubmitResult::kUnknown);
         });
 }
 
-void Scheduler::OnSubmitResult(uint64_t number, SubmitWay way,
+void Scheduler::OnSubmitResult(uint64_t number, SubmitRoute route,
                                SubmitResult result) {
   const auto it = submissions_.find(number);
-  if (it == submissions_.end()) return;  // The other way was sooner.
-  it->second.call.OnResult(way, result);
+  if (it == submissions_.end()) return;  // The other route was sooner.
+  it->second.call.OnResult(route, result);
   AdvanceSubmission(number);
 }
 
-// Either way of storing a cancellation may be tried after the other whatever
+// Either route of storing a cancellation may be tried after the other whatever
 // became of it: both change nothing the second time.
 void Scheduler::Cancel(const std::string& workflow,
                        std::function<void(CancelResult)> done) {
   const auto relay = [this, workflow, done] {
-    const uint64_t id = next_call_++;
+    const uint64_t id = next_call_id_++;
     Relay(id, RelayedCancel{id, workflow}, kCancelRelayTimeout,
           [done](std::optional<uint8_t> result) {
             done(result ? static_cast<CancelResult>(*result)
                         : CancelResult::kUnknown);
           });
   };
-  if (!StoreAnswers() && CanRelay()) {
+  if (!TableResponds() && CanRelay()) {
     relay();
     return;
   }
-  CancelHere(workflow, [this, relay, done](CancelResult result) {
+  CancelLocally(workflow, [this, relay, done](CancelResult result) {
     if (result != CancelResult::kUnknown || !CanRelay()) {
       done(result);
     } else {
@@ -187,21 +188,21 @@
   owner_peer_->Send(call);
 }
 
-void Scheduler::ServeRelay(Link* link, const RelayedSubmit& call) {
+void Scheduler::HandleRelay(Link* link, const RelayedSubmit& call) {
   Workflow workflow = call.workflow;
   workflow.offered_to = keeper_->epoch();
-  SubmitHere(workflow, [this, link, id = call.id](SubmitResult result) {
-    AnswerRelay(link, id, static_cast<uint8_t>(result));
+  SubmitLocally(workflow, [this, link, id = call.id](SubmitResult result) {
+    SendRelayResult(link, id, static_cast<uint8_t>(result));
   });
 }
 
-void Scheduler::ServeRelay(Link* link, const RelayedCancel& call) {
-  CancelHere(call.workflow, [this, link, id = call.id](CancelResult result) {
-    AnswerRelay(link, id, static_cast<uint8_t>(result));
+void Scheduler::HandleRelay(Link* link, const RelayedCancel& call) {
+  CancelLocally(call.workflow, [this, link, id = call.id](CancelResult result) {
+    SendRelayResult(link, id, static_cast<uint8_t>(result));
   });
 }
 
-void Scheduler::AnswerRelay(Link* link, uint64_t id, uint8_t result) {
+void Scheduler::SendRelayResult(Link* link, uint64_t id, uint8_t result) {
   if (peers_.count(link) == 0) return;  // It has gone meanwhile.
   link->Send(EncodeDispatch(RelayedResult{id, result}));
 }
@@ -216,12 +217,12 @@
   }
   Question question;
   question.workflow = workflow;
-  Ask(question, [this, workflow, done](std::optional<Answer> answer) {
+  QueryOwner(question, [this, workflow, done](std::optional<Answer> answer) {
     if (answer && answer->known) {
       done({true, answer->state});
       return;
     }
-    desk_.StoredState(workflow, done);
+    repository_.StoredState(workflow, done);
   });
 }
 
@@ -233,7 +234,7 @@
   }
   Question question;
   question.queue = queue;
-  Ask(question, [done](std::optional<Answer> answer) {
+  QueryOwner(question, [done](std::optional<Answer> answer) {
     if (answer && answer->known) {
       done(answer->waiting);
     } else {
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -13,22 +13,22 @@
 namespace {
 
 // How long a new owner keeps trying to reach those that may not have heard.
-constexpr Duration kAnnounceFor = std::chrono::seconds(8);
+constexpr Duration kAnnouncementDuration = std::chrono::seconds(8);
 // A notice that no owner has confirmed for so long is left to the markers in
 // the table. Far below the time that finished workflows are kept, so that a
 // late notice can't bring one back.
-constexpr Duration kNoticeLife = std::chrono::seconds(30);
+constexpr Duration kNoticeLifetime = std::chrono::seconds(30);
 // An owner that the table has not answered for so long may be cut off from it.
-constexpr Duration kOwnerCutOff = std::chrono::milliseconds(550);
+constexpr Duration kMaxOwnerTableSilence = std::chrono::milliseconds(550);
 // Without an answer of the table and without a word of an owner for so long,
 // other schedulers are asked, so many at a time.
-constexpr Duration kAloneAfter = std::chrono::milliseconds(900);
-constexpr size_t kQueriedPeers = 3;
+constexpr Duration kIsolatedAfter = std::chrono::milliseconds(900);
+constexpr size_t kPeersPerQuery = 3;
 // When none of them has been served by the table for so long, the next are.
-constexpr Duration kQueryRound = std::chrono::milliseconds(1500);
+constexpr Duration kQueryTimeout = std::chrono::milliseconds(1500);
 // Addresses of others in an owner's heartbeat: of 184 schedulers each is told
 // within 7 s.
-constexpr size_t kPeersOfHeartbeat = 8;
+constexpr size_t kPeersPerHeartbeat = 8;
 
 }  // namespace
 
@@ -37,53 +37,56 @@
 }
 
 SchedulerHeartbeat Scheduler::Heartbeat() const {
-  SchedulerHeartbeat beat;
-  beat.name = settings_.name;
-  beat.address = ToString(settings_.peers);
-  beat.incarnation = incarnation_;
-  beat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
-  beat.known_epoch = keeper_->record().epoch;
-  beat.store_silence = hooks_.store_silence();
-  beat.strength = settings_.host_capacity;
-  beat.settings_version = hooks_.settings_version();
-  beat.evacuations = hooks_.evacuations();
-  return beat;
+  SchedulerHeartbeat heartbeat;
+  heartbeat.name = settings_.name;
+  heartbeat.address = ToString(settings_.peers);
+  heartbeat.incarnation = incarnation_;
+  heartbeat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
+  heartbeat.known_epoch = keeper_->record().epoch;
+  heartbeat.store_silence = hooks_.store_silence();
+  heartbeat.strength = settings_.host_capacity;
+  heartbeat.settings_version = hooks_.settings_version();
+  heartbeat.evacuations = hooks_.evacuations();
+  return heartbeat;
 }
 
 // Of all peers to all peers would be bytes that grow with their square.
-SchedulerHeartbeat Scheduler::HeartbeatTo(Peer& peer) {
-  SchedulerHeartbeat beat = Heartbeat();
-  if (!keeper_->owns()) return beat;
-  for (Link* link : NextInTurn(peers_, peer.told_last, kPeersOfHeartbeat)) {
+SchedulerHeartbeat Scheduler::HeartbeatFor(Peer& peer) {
+  SchedulerHeartbeat heartbeat = Heartbeat();
+  if (!keeper_->owns()) return heartbeat;
+  for (Link* link :
+       NextRoundRobin(peers_, peer.last_peer_sent, kPeersPerHeartbeat)) {
     const std::string& address = peers_.at(link).last.address;
-    if (!address.empty()) beat.peers.push_back(address);
+    if (!address.empty()) heartbeat.peers.push_back(address);
   }
-  return beat;
+  return heartbeat;
 }
 
-void Scheduler::ShareSettings(
-    uint64_t peers_version,
+void Scheduler::SendSettingsIfNewer(
+    uint64_t peer_version,
     const std::function<void(const DispatchMessage&)>& send) {
-  if (peers_version >= hooks_.settings_version()) return;
+  if (peer_version >= hooks_.settings_version()) return;
   send(ServiceSettingsCopy{hooks_.settings_version(),
                            hooks_.settings_document()});
 }
 
 void Scheduler::OnOwnerMessage(const DispatchMessage& message) {
-  if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
-    if (beat->epoch >= followed_.epoch) keeper_->OnOwnerHeard(beat->epoch);
-    owner_heard_at_ = BootClock::now();
-    hooks_.on_evacuations_copy(beat->evacuations);
-    owner_store_answers_ = beat->store_silence < kOwnerCutOff;
-    owner_served_at_ = owner_heard_at_ - beat->store_silence;
-    known_peers_.insert(beat->peers.begin(), beat->peers.end());
+  if (const auto* heartbeat = std::get_if<SchedulerHeartbeat>(&message)) {
+    if (heartbeat->epoch >= followed_owner_.epoch)
+      keeper_->OnOwnerHeard(heartbeat->epoch);
+    owner_heartbeat_at_ = BootClock::now();
+    hooks_.on_evacuations_copy(heartbeat->evacuations);
+    owner_table_responds_ = heartbeat->store_silence < kMaxOwnerTableSilence;
+    owner_table_answer_at_ = owner_heartbeat_at_ - heartbeat->store_silence;
+    known_peers_.insert(heartbeat->peers.begin(), heartbeat->peers.end());
     // The answer, if there is one, makes this process a successor.
-    if (beat->store_silence >= kOwnerCutOff) ProbeStore();
-    if (beat->incarnation != followed_.incarnation) {
-      keeper_->OnOwnerGone(followed_.incarnation);
+    if (heartbeat->store_silence >= kMaxOwnerTableSilence) ProbeTable();
+    if (heartbeat->incarnation != followed_owner_.incarnation) {
+      keeper_->OnOwnerGone(followed_owner_.incarnation);
     }
-    ShareSettings(beat->settings_version,
-                  [this](const DispatchMessage& m) { owner_peer_->Send(m); });
+    SendSettingsIfNewer(
+        heartbeat->settings_version,
+        [this](const DispatchMessage& m) { owner_peer_->Send(m); });
   } else if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
     hooks_.on_settings_copy(copy->version, copy->document);
   } else if (const auto* later = std::get_if<OwnerAnnounced>(&message)) {
@@ -95,7 +98,7 @@
   } else if (const auto* result = std::get_if<RelayedResult>(&message)) {
     relays_.Finish(result->id, result->result);
   } else if (const auto* answer = std::get_if<Answer>(&message)) {
-    questions_.Finish(answer->id, *answer);
+    owner_queries_.Finish(answer->id, *answer);
   }
 }
 
@@ -124,13 +127,13 @@
   const auto send = [&peer](const DispatchMessage& m) {
     peer.link->Send(EncodeDispatch(m));
   };
-  if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
-    peer.last = *beat;
-    peer.heard_at = BootClock::now();
-    hooks_.on_evacuations_copy(beat->evacuations);
-    send(HeartbeatTo(peer));
-    ShareSettings(beat->settings_version, send);
-    if (beat->known_epoch < keeper_->record().epoch) {
+  if (const auto* heartbeat = std::get_if<SchedulerHeartbeat>(&message)) {
+    peer.last = *heartbeat;
+    peer.heartbeat_at = BootClock::now();
+    hooks_.on_evacuations_copy(heartbeat->evacuations);
+    send(HeartbeatFor(peer));
+    SendSettingsIfNewer(heartbeat->settings_version, send);
+    if (heartbeat->known_epoch < keeper_->record().epoch) {
       send(OwnerAnnounced{keeper_->record()});
     }
   } else if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
@@ -146,9 +149,9 @@
   } else if (const auto* announced = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(announced->record);
   } else if (const auto* submit = std::get_if<RelayedSubmit>(&message)) {
-    ServeRelay(peer.link, *submit);
+    HandleRelay(peer.link, *submit);
   } else if (const auto* relayed = std::get_if<RelayedCancel>(&message)) {
-    ServeRelay(peer.link, *relayed);
+    HandleRelay(peer.link, *relayed);
   } else if (const auto* question = std::get_if<Question>(&message)) {
     AnswerQuestion(*peer.link, *question);
   }
@@ -159,9 +162,9 @@
   if (owner_peer_) owner_peer_->Send(message);
 }
 
-void Scheduler::DropOldNotices(TimePoint now) {
+void Scheduler::ExpireNotices(TimePoint now) {
   for (auto it = notices_.begin(); it != notices_.end();) {
-    const bool old = now - it->second.since > kNoticeLife;
+    const bool old = now - it->second.since > kNoticeLifetime;
     it = old ? notices_.erase(it) : std::next(it);
   }
 }
@@ -171,30 +174,30 @@
 }
 
 void Scheduler::QueryPeers(TimePoint now) {
-  const bool alone = !keeper_->owns() &&
-                     hooks_.store_silence() >= kAloneAfter &&
-                     now - owner_heard_at_ >= kAloneAfter;
-  if (!alone) {
-    queries_.Clear();
-    unasked_.clear();
+  const bool isolated = !keeper_->owns() &&
+                        hooks_.store_silence() >= kIsolatedAfter &&
+                        now - owner_heartbeat_at_ >= kIsolatedAfter;
+  if (!isolated) {
+    queried_peers_.Clear();
+    unqueried_peers_.clear();
     return;
   }
-  if (!queries_.empty() && now - query_helped_at_ < kQueryRound) {
-    queries_.CloseIfSilent(kAloneAfter);
+  if (!queried_peers_.empty() && now - query_progress_at_ < kQueryTimeout) {
+    queried_peers_.CloseIfSilent(kIsolatedAfter);
     return;
   }
-  query_helped_at_ = now;
-  queries_.Clear();
-  if (unasked_.empty()) {
-    unasked_ = KnownAddresses();
-    std::shuffle(unasked_.begin(), unasked_.end(), random_);
+  query_progress_at_ = now;
+  queried_peers_.Clear();
+  if (unqueried_peers_.empty()) {
+    unqueried_peers_ = KnownAddresses();
+    std::shuffle(unqueried_peers_.begin(), unqueried_peers_.end(), random_);
   }
-  for (size_t i = 0; i < kQueriedPeers && !unasked_.empty(); ++i) {
+  for (size_t i = 0; i < kPeersPerQuery && !unqueried_peers_.empty(); ++i) {
     Log(LogLevel::kInfo, "asking_peer",
-        {{"peer", ToString(unasked_.back())},
+        {{"peer", ToString(unqueried_peers_.back())},
          {"settings_version", hooks_.settings_version()}});
-    queries_.Dial(unasked_.back());
-    unasked_.pop_back();
+    queried_peers_.Dial(unqueried_peers_.back());
+    unqueried_peers_.pop_back();
   }
 }
 
@@ -208,9 +211,11 @@
 void Scheduler::OnQueryAnswer(const DispatchMessage& message) {
   if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
     hooks_.on_settings_copy(copy->version, copy->document);
-  } else if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
-    hooks_.on_evacuations_copy(beat->evacuations);
-    if (beat->store_silence < kAloneAfter) query_helped_at_ = BootClock::now();
+  } else if (const auto* heartbeat =
+                 std::get_if<SchedulerHeartbeat>(&message)) {
+    hooks_.on_evacuations_copy(heartbeat->evacuations);
+    if (heartbeat->store_silence < kIsolatedAfter)
+      query_progress_at_ = BootClock::now();
   } else if (const auto* announced = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(announced->record);
   }
@@ -236,8 +241,8 @@
   for (const Address& address : KnownAddresses()) {
     announcements_->Dial(address);
   }
-  end_announcements_ =
-      loop_.After(kAnnounceFor, [this] { announcements_.reset(); });
+  announcement_timer_ =
+      loop_.After(kAnnouncementDuration, [this] { announcements_.reset(); });
 }
 
 }  // namespace beamhill
--- a/beamhill/scheduler/scheduler_test.cc
+++ b/beamhill/scheduler/scheduler_test.cc
@@ -33,13 +33,13 @@
   std::unique_ptr<LinkListener> Listen(const std::string& name) {
     auto listener =
         LinkListener::Listen(*loop_, {"127.0.0.1", 0}, [this, name](Link&) {
-          asked_.insert(name);
+          dialed_.insert(name);
           LinkHooks hooks;
           hooks.on_message = [this, name](Link& link, std::string_view frame) {
             const auto message = ValueOf(DecodeDispatch(frame));
             if (std::holds_alternative<SchedulerHeartbeat>(message)) {
-              link.Send(EncodeDispatch(AnswerOf(name)));
-              owner_answered_ += name == "owner" ? 1 : 0;
+              link.Send(EncodeDispatch(HeartbeatOf(name)));
+              owner_heartbeats_ += name == "owner" ? 1 : 0;
             }
           };
           hooks.on_close = [](Link&) {};
@@ -48,18 +48,18 @@
     return std::move(ValueOf(listener));
   }
 
-  SchedulerHeartbeat AnswerOf(const std::string& name) const {
-    SchedulerHeartbeat beat;
-    beat.name = name;
+  SchedulerHeartbeat HeartbeatOf(const std::string& name) const {
+    SchedulerHeartbeat heartbeat;
+    heartbeat.name = name;
     if (name == "owner") {
-      beat.incarnation = kOwnerIncarnation;
-      beat.epoch = 1;
-      beat.known_epoch = 1;
-      beat.peers = peer_addresses_;
+      heartbeat.incarnation = kOwnerIncarnation;
+      heartbeat.epoch = 1;
+      heartbeat.known_epoch = 1;
+      heartbeat.peers = peer_addresses_;
     } else {
-      beat.store_silence = peers_store_silence_;
+      heartbeat.store_silence = peers_store_silence_;
     }
-    return beat;
+    return heartbeat;
   }
 
   void StartScheduler() {
@@ -78,7 +78,7 @@
   }
 
   // A scheduler that knows so many peers and has lost its owner and the table.
-  void LeaveAloneAmong(int peers) {
+  void IsolateAmong(int peers) {
     for (int i = 0; i < peers; ++i) {
       peers_.push_back(Listen("peer-" + std::to_string(i)));
       peer_addresses_.push_back(AddressOf(*peers_.back()));
@@ -91,23 +91,23 @@
     record.address = AddressOf(*owner);
     table_.model().Commit({{}, {{rows::kOwner, 0, EncodeRecord(record)}}});
     StartScheduler();
-    ASSERT_TRUE(RunUntil(seconds(5), [&] { return owner_answered_ > 0; }));
+    ASSERT_TRUE(RunUntil(seconds(5), [&] { return owner_heartbeats_ > 0; }));
     RunUntil(milliseconds(100), [] { return false; });
     table_.set_fault(TableFault::kDown);
     store_silence_ = seconds(2);
     owner.reset();
-    asked_.clear();
+    dialed_.clear();
   }
 
   static std::string AddressOf(const LinkListener& listener) {
     return "127.0.0.1:" + std::to_string(listener.port());
   }
 
-  bool RunUntil(Duration patience, const std::function<bool()>& done) {
+  bool RunUntil(Duration timeout, const std::function<bool()>& done) {
     const Timer poll = loop_->Every(milliseconds(5), [&] {
       if (done()) loop_->Stop();
     });
-    const Timer end = loop_->After(patience, [this] { loop_->Stop(); });
+    const Timer end = loop_->After(timeout, [this] { loop_->Stop(); });
     loop_->Run();
     return done();
   }
@@ -118,8 +118,8 @@
   Evacuations evacuations_;
   Duration store_silence_{};
   Duration peers_store_silence_{};
-  std::set<std::string> asked_;  // Names of those that were dialed.
-  int owner_answered_ = 0;       // Heartbeats.
+  std::set<std::string> dialed_;  // Names of those that were dialed.
+  int owner_heartbeats_ = 0;      // Heartbeats.
   std::vector<std::string> peer_addresses_;
   std::vector<std::unique_ptr<LinkListener>> peers_;
   std::unique_ptr<Scheduler> scheduler_;
@@ -131,16 +131,16 @@
 // answered again.
 TEST_F(SchedulerTest, AsksOthersWhileTheTableAnswersNoneThatWereAsked) {
   peers_store_silence_ = seconds(2);
-  LeaveAloneAmong(5);
-  EXPECT_TRUE(RunUntil(seconds(6), [&] { return asked_.size() == 5; }))
-      << asked_.size() << " were asked";
+  IsolateAmong(5);
+  EXPECT_TRUE(RunUntil(seconds(6), [&] { return dialed_.size() == 5; }))
+      << dialed_.size() << " were asked";
 }
 
 // It tells of each change as it comes.
 TEST_F(SchedulerTest, StaysWithAPeerThatTheTableAnswers) {
-  LeaveAloneAmong(5);
-  EXPECT_FALSE(RunUntil(seconds(4), [&] { return asked_.size() > 3; }));
-  EXPECT_EQ(asked_.size(), 3);
+  IsolateAmong(5);
+  EXPECT_FALSE(RunUntil(seconds(4), [&] { return dialed_.size() > 3; }));
+  EXPECT_EQ(dialed_.size(), 3);
 }
 
 }  // namespace
--- a/beamhill/scheduler/submit_call.cc
+++ b/beamhill/scheduler/submit_call.cc
@@ -4,12 +4,12 @@
 namespace {
 
 // An owner answers heartbeats each 0.3 s; one that has missed one may be lost.
-constexpr Duration kHeardLately = std::chrono::milliseconds(450);
+constexpr Duration kMaxHeartbeatAge = std::chrono::milliseconds(450);
 // It has had no answer of the table for so long that it may be cut off.
-constexpr Duration kServedLately = std::chrono::milliseconds(900);
+constexpr Duration kMaxTableSilence = std::chrono::milliseconds(900);
 
-constexpr Duration kHerePatience = std::chrono::milliseconds(300);
-constexpr Duration kGiveUpAfter = std::chrono::milliseconds(2200);
+constexpr Duration kLocalTimeout = std::chrono::milliseconds(300);
+constexpr Duration kMaxWait = std::chrono::milliseconds(2200);
 
 bool IsStored(SubmitResult result) {
   return result == SubmitResult::kAccepted ||
@@ -18,47 +18,47 @@
 
 }  // namespace
 
-bool StoresForOthers(const OwnerReach& owner) {
-  return owner.linked && owner.heard_ago < kHeardLately &&
-         owner.served_ago < kServedLately;
+bool IsOwnerResponsive(const OwnerReachability& owner) {
+  return owner.connected && owner.since_heartbeat < kMaxHeartbeatAge &&
+         owner.since_table_answer < kMaxTableSilence;
 }
 
-std::optional<SubmitWay> SubmitCall::Next(const OwnerReach& owner,
-                                          Duration waited) {
+std::optional<SubmitRoute> SubmitCall::Next(const OwnerReachability& owner,
+                                            Duration waited) {
   if (outcome_) return std::nullopt;
-  const bool serves = StoresForOthers(owner);
+  const bool owner_responsive = IsOwnerResponsive(owner);
   // A table that has not answered here by then may turn this scheduler away.
-  const bool here_fails = here_.result || waited >= kHerePatience;
-  if (!owner_.tried && serves && (!here_.tried || here_fails)) {
+  const bool local_failed = local_.result || waited >= kLocalTimeout;
+  if (!owner_.tried && owner_responsive && (!local_.tried || local_failed)) {
     owner_.tried = true;
-    return SubmitWay::kOwner;
+    return SubmitRoute::kOwner;
   }
-  const bool owner_fails = owner_.result || !serves;
-  if (!here_.tried && owner_fails) {
-    here_.tried = true;
-    return SubmitWay::kHere;
+  const bool owner_failed = owner_.result || !owner_responsive;
+  if (!local_.tried && owner_failed) {
+    local_.tried = true;
+    return SubmitRoute::kLocal;
   }
-  Conclude(waited);
+  DecideOutcome(waited);
   return std::nullopt;
 }
 
-void SubmitCall::OnResult(SubmitWay way, SubmitResult result) {
-  Of(way).result = result;
-  if (result == SubmitResult::kUnknown) unsure_ = true;
+void SubmitCall::OnResult(SubmitRoute route, SubmitResult result) {
+  AttemptFor(route).result = result;
+  if (result == SubmitResult::kUnknown) may_be_stored_ = true;
   if (IsStored(result)) outcome_ = result;
 }
 
 void SubmitCall::OnOwnerLost() {
-  if (owner_.open()) unsure_ = true;
+  if (owner_.open()) may_be_stored_ = true;
   owner_ = Attempt();
 }
 
 // One that may be stored can't be tried again by its caller: so the next owner
 // is waited for, as long as callers wait.
-void SubmitCall::Conclude(Duration waited) {
-  if (owner_.open() || here_.open()) return;
-  if (unsure_ && !owner_.tried && waited < kGiveUpAfter) return;
-  outcome_ = unsure_ ? SubmitResult::kUnknown : SubmitResult::kRefused;
+void SubmitCall::DecideOutcome(Duration waited) {
+  if (owner_.open() || local_.open()) return;
+  if (may_be_stored_ && !owner_.tried && waited < kMaxWait) return;
+  outcome_ = may_be_stored_ ? SubmitResult::kUnknown : SubmitResult::kRefused;
 }
 
 }  // namespace beamhill
--- a/beamhill/scheduler/submit_call.h
+++ b/beamhill/scheduler/submit_call.h
@@ -1,19 +1,19 @@
-// One caller's submission on its way into the table: through the owner, or by
+// One caller's submission on its route into the table: through the owner, or by
 // this scheduler itself.
 //
 // Loads that it answers. Hundreds of schedulers that each write by themselves
 // queue behind one another in a slow table, where the owner stores what came
-// meanwhile in one transaction. A table that turns this scheduler away serves
-// the owner; an owner that is lost leaves the table; and one that both have
-// turned away may be stored by the next owner. Each way may be tried after the
-// other, whatever became of it: storing a submission a second time changes
-// nothing.
+// meanwhile in one transaction. A table that turns this scheduler away
+// owner_responsive the owner; an owner that is lost leaves the table; and one
+// that both have turned away may be stored by the next owner. Each route may be
+// tried after the other, whatever became of it: storing a submission a second
+// time changes nothing.
 //
 // Pure.
 //
 //   SubmitCall call;
-//   while (const auto way = call.Next(owner, waited)) Try(*way);
-//   call.OnResult(SubmitWay::kOwner, result);
+//   while (const auto route = call.Next(owner, waited)) Try(*route);
+//   call.OnResult(SubmitRoute::kOwner, result);
 //   if (call.outcome()) Answer(*call.outcome());
 #ifndef BEAMHILL_SCHEDULER_SUBMIT_CALL_H_
 #define BEAMHILL_SCHEDULER_SUBMIT_CALL_H_
@@ -26,25 +26,26 @@
 
 namespace beamhill {
 
-enum class SubmitWay : uint8_t { kOwner, kHere };
+enum class SubmitRoute : uint8_t { kOwner, kLocal };
 
 // What this scheduler knows of the owner.
-struct OwnerReach {
-  bool linked = false;
-  Duration heard_ago{};
+struct OwnerReachability {
+  bool connected = false;
+  Duration since_heartbeat{};
   // Since the table last answered the owner, by its word.
-  Duration served_ago{};
+  Duration since_table_answer{};
 };
 
 // Whether submissions go to the owner first.
-bool StoresForOthers(const OwnerReach& owner);
+bool IsOwnerResponsive(const OwnerReachability& owner);
 
 class SubmitCall {
  public:
-  // A way to try now, which counts as tried from then on; nothing when there
+  // A route to try now, which counts as tried from then on; nothing when there
   // is none, or the outcome is known. `waited`: since the caller came.
-  std::optional<SubmitWay> Next(const OwnerReach& owner, Duration waited);
-  void OnResult(SubmitWay way, SubmitResult result);
+  std::optional<SubmitRoute> Next(const OwnerReachability& owner,
+                                  Duration waited);
+  void OnResult(SubmitRoute route, SubmitResult result);
   // No answer of the owner that was asked can come any more; another one, or
   // the same on another link, can be asked.
   void OnOwnerLost();
@@ -59,14 +60,14 @@
     bool open() const { return tried && !result; }
   };
 
-  Attempt& Of(SubmitWay way) {
-    return way == SubmitWay::kOwner ? owner_ : here_;
+  Attempt& AttemptFor(SubmitRoute route) {
+    return route == SubmitRoute::kOwner ? owner_ : local_;
   }
-  void Conclude(Duration waited);
+  void DecideOutcome(Duration waited);
 
   Attempt owner_;
-  Attempt here_;
-  bool unsure_ = false;  // Some try may have stored it.
+  Attempt local_;
+  bool may_be_stored_ = false;  // Some try may have stored it.
   std::optional<SubmitResult> outcome_;
 };
 
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -13,35 +13,35 @@
 // Several messages that arrive together are decided on together.
 constexpr Duration kTickDelay = std::chrono::milliseconds(2);
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
-constexpr Duration kReloadPause = std::chrono::milliseconds(200);
+constexpr Duration kReloadDelay = std::chrono::milliseconds(200);
 // What was learned rides on a transaction this often; some kilobytes.
-constexpr Duration kStorePressureInterval = std::chrono::seconds(2);
-constexpr Duration kCommitRetry = std::chrono::milliseconds(150);
+constexpr Duration kStoreInterferenceInterval = std::chrono::seconds(2);
+constexpr Duration kCommitRetryDelay = std::chrono::milliseconds(150);
 
 UnixMillis UnixNow() {
   return std::chrono::duration_cast<UnixMillis>(
       std::chrono::system_clock::now().time_since_epoch());
 }
 
-std::string After(const std::string& key, const std::string& prefix) {
+std::string StripPrefix(const std::string& key, const std::string& prefix) {
   return key.substr(prefix.size());
 }
 
 }  // namespace
 
 // What is stored, collected table by table.
-struct WorkOwner::Loading {
+struct WorkOwner::LoadedRows {
   std::vector<std::string> prefixes = {
       rows::kExecutors, rows::kEarlierExecutors, rows::kWorkflows,
       rows::kProgress,  rows::kCancels,          rows::kLearned};
-  std::map<std::string, std::vector<Row>> found;
+  std::map<std::string, std::vector<Row>> rows_by_prefix;
 
   // Names of the VMs, each once.
   std::set<std::string> VmNames() const {
     std::set<std::string> names;
     for (const char* prefix : {rows::kExecutors, rows::kEarlierExecutors}) {
-      for (const Row& row : found.at(prefix)) {
-        names.insert(After(row.key, prefix));
+      for (const Row& row : rows_by_prefix.at(prefix)) {
+        names.insert(StripPrefix(row.key, prefix));
       }
     }
     return names;
@@ -58,47 +58,48 @@
       advisor_(std::move(advisor)),
       evacuations_(std::move(evacuations)),
       metrics_(metrics),
-      desk_(table) {
+      repository_(table) {
   Load();
 }
 
 WorkOwner::~WorkOwner() = default;
 
-void WorkOwner::Load() { LoadNext(std::make_shared<Loading>()); }
+void WorkOwner::Load() { LoadNext(std::make_shared<LoadedRows>()); }
 
-void WorkOwner::LoadNext(std::shared_ptr<Loading> loading) {
-  const size_t next = loading->found.size();
+void WorkOwner::LoadNext(std::shared_ptr<LoadedRows> loaded_rows) {
+  const size_t next = loaded_rows->rows_by_prefix.size();
   // Nothing is started before it is known in which data halls nothing may be.
-  if (next == loading->prefixes.size() && !evacuations_().known) {
+  if (next == loaded_rows->prefixes.size() && !evacuations_().known) {
     Log(LogLevel::kWarning, "evacuations_unknown", {{"epoch", options_.epoch}});
-    reload_ = loop_.After(kReloadPause, [this, loading] { LoadNext(loading); });
+    reload_ = loop_.After(kReloadDelay,
+                          [this, loaded_rows] { LoadNext(loaded_rows); });
     return;
   }
-  if (next == loading->prefixes.size()) {
-    OnLoaded(*loading);
+  if (next == loaded_rows->prefixes.size()) {
+    OnLoaded(*loaded_rows);
     return;
   }
-  const std::string prefix = loading->prefixes[next];
-  table_.scan(prefix, lifetime_.Guard([this, loading,
+  const std::string prefix = loaded_rows->prefixes[next];
+  table_.scan(prefix, lifetime_.Guard([this, loaded_rows,
                                        prefix](Result<std::vector<Row>> rows) {
     if (!IsOk(rows)) {
       Log(LogLevel::kWarning, "load_failed",
           {{"table", prefix}, {"error", ErrorOf(rows).message}});
-      reload_ = loop_.After(kReloadPause, [this] { Load(); });
+      reload_ = loop_.After(kReloadDelay, [this] { Load(); });
       return;
     }
-    loading->found[prefix] = ValueOf(rows);
-    LoadNext(loading);
+    loaded_rows->rows_by_prefix[prefix] = ValueOf(rows);
+    LoadNext(loaded_rows);
   }));
 }
 
-void WorkOwner::CreateDispatcher(const Loading& loading, TimePoint now) {
+void WorkOwner::CreateDispatcher(const LoadedRows& loaded_rows, TimePoint now) {
   DispatcherOptions options;
   options.epoch = options_.epoch;
   options.lease_term = options_.lease_term;
   options.inherited_bound = options_.inherited_bound;
   if (!options_.first) {
-    const std::set<std::string> names = loading.VmNames();
+    const std::set<std::string> names = loaded_rows.VmNames();
     options.inherited_vms.assign(names.begin(), names.end());
   }
   dispatcher_ = Dispatcher::Create(
@@ -111,18 +112,19 @@
       now);
 }
 
-void WorkOwner::AddLoadedWorkflows(const Loading& loading, TimePoint now) {
+void WorkOwner::AddLoadedWorkflows(const LoadedRows& loaded_rows,
+                                   TimePoint now) {
   std::map<std::string, ProgressRecord> records;
-  for (const Row& row : loading.found.at(rows::kProgress)) {
+  for (const Row& row : loaded_rows.rows_by_prefix.at(rows::kProgress)) {
     auto record = DecodeRecord<ProgressRecord>(row.value);
     if (!IsOk(record)) {
       Log(LogLevel::kError, "bad_row",
           {{"key", row.key}, {"error", ErrorOf(record).message}});
       continue;
     }
-    records[After(row.key, rows::kProgress)] = ValueOf(record);
+    records[StripPrefix(row.key, rows::kProgress)] = ValueOf(record);
   }
-  for (const Row& row : loading.found.at(rows::kWorkflows)) {
+  for (const Row& row : loaded_rows.rows_by_prefix.at(rows::kWorkflows)) {
     const auto workflow = DecodeRecord<Workflow>(row.value);
     if (!IsOk(workflow)) {
       Log(LogLevel::kError, "bad_row",
@@ -137,71 +139,72 @@
   }
 }
 
-void WorkOwner::OnLoaded(const Loading& loading) {
+void WorkOwner::OnLoaded(const LoadedRows& loaded_rows) {
   const TimePoint now = BootClock::now();
-  CreateDispatcher(loading, now);
-  AddLoadedWorkflows(loading, now);
-  for (const Row& row : loading.found.at(rows::kCancels)) {
-    dispatcher_->Cancel(After(row.key, rows::kCancels), now);
+  CreateDispatcher(loaded_rows, now);
+  AddLoadedWorkflows(loaded_rows, now);
+  for (const Row& row : loaded_rows.rows_by_prefix.at(rows::kCancels)) {
+    dispatcher_->Cancel(StripPrefix(row.key, rows::kCancels), now);
   }
-  for (const Row& row : loading.found.at(rows::kLearned)) {
+  for (const Row& row : loaded_rows.rows_by_prefix.at(rows::kLearned)) {
     const auto learned = DecodeRecord<PressureRecord>(row.value);
     if (IsOk(learned)) dispatcher_->RecallPressure(ValueOf(learned));
   }
   Log(LogLevel::kInfo, "owner_loaded",
       {{"epoch", options_.epoch},
        {"workflows", dispatcher_->workflows()},
-       {"vms", loading.VmNames().size()}});
-  OnVmRows(loading.found.at(rows::kExecutors));
-  OnEarlierVmRows(loading.found.at(rows::kEarlierExecutors));
+       {"vms", loaded_rows.VmNames().size()}});
+  OnVmRows(loaded_rows.rows_by_prefix.at(rows::kExecutors));
+  OnEarlierVmRows(loaded_rows.rows_by_prefix.at(rows::kEarlierExecutors));
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
   vm_scan_ = loop_.Every(options_.vm_scan_interval, [this] { ScanVms(); });
   earlier_vm_scan_ = loop_.Every(options_.earlier_vm_scan_interval,
                                  [this] { ScanEarlierVms(); });
-  notice_scan_ =
-      loop_.Every(options_.notice_scan_interval, [this] { ScanNotices(); });
+  marker_scan_ =
+      loop_.Every(options_.marker_scan_interval, [this] { ScanMarkers(); });
   summary_ = loop_.Every(kSummaryInterval, [this] {
     dispatcher_->SendWeights();
     Flush();
     LogSummary();
   });
   ScanVms();
-  ScanNotices();
+  ScanMarkers();
   Tick();
 }
 
 void WorkOwner::RefreshAuthority() {
   const bool may_act = keeper_.MayAct();
-  const Authority closing = quiet_ ? Authority::kClosing : Authority::kFull;
-  dispatcher_->SetAuthority(may_act ? closing : Authority::kNone,
+  const Authority owner_authority =
+      quiescing_ ? Authority::kClosing : Authority::kFull;
+  dispatcher_->SetAuthority(may_act ? owner_authority : Authority::kNone,
                             BootClock::now());
-  if (may_act == has_authority_) return;
-  has_authority_ = may_act;
+  if (may_act == had_authority_) return;
+  had_authority_ = may_act;
   Log(may_act ? LogLevel::kInfo : LogLevel::kWarning,
       may_act ? "authority_back" : "authority_over",
       {{"epoch", options_.epoch},
        {"since_confirmed_ms", ToMillis(keeper_.SinceConfirmed())}});
 }
 
-void WorkOwner::ScanNotices() {
-  if (scanning_notices_) return;
-  scanning_notices_ = true;
+void WorkOwner::ScanMarkers() {
+  if (scanning_markers_) return;
+  scanning_markers_ = true;
   table_.scan(rows::kArrivals,
               lifetime_.Guard([this](Result<std::vector<Row>> rows) {
-                scanning_notices_ = false;
-                if (IsOk(rows)) OnArrivalRows(ValueOf(rows));
+                scanning_markers_ = false;
+                if (IsOk(rows)) OnMarkerRows(ValueOf(rows));
               }));
 }
 
-void WorkOwner::OnArrivalRows(const std::vector<Row>& rows) {
+void WorkOwner::OnMarkerRows(const std::vector<Row>& rows) {
   const std::string new_prefix = rows::NewMarker("");
   const std::string cancel_prefix = rows::CancelMarker("");
   for (const Row& row : rows) {
     if (row.key.rfind(cancel_prefix, 0) == 0) {
-      OnCancelStored(After(row.key, cancel_prefix));
+      OnCancelStored(StripPrefix(row.key, cancel_prefix));
       continue;
     }
-    const std::string id = After(row.key, new_prefix);
+    const std::string id = StripPrefix(row.key, new_prefix);
     if (dispatcher_->Knows(id)) {
       const auto state = dispatcher_->StateOf(id);
       if (state >= WorkflowState::kCompleted) stale_markers_.insert(row.key);
@@ -213,8 +216,8 @@
 
 void WorkOwner::LoadWorkflow(const std::string& id) {
   if (!loading_workflows_.insert(id).second) return;
-  desk_.Load(id, [this, id](std::optional<Workflow> workflow,
-                            std::optional<ProgressRecord> record) {
+  repository_.Load(id, [this, id](std::optional<Workflow> workflow,
+                                  std::optional<ProgressRecord> record) {
     loading_workflows_.erase(id);
     if (workflow) Add(*workflow, record);
   });
@@ -223,14 +226,14 @@
 void WorkOwner::Add(const Workflow& workflow,
                     const std::optional<ProgressRecord>& record) {
   dispatcher_->AddWorkflow(workflow, record, BootClock::now());
-  if (early_cancels_.erase(workflow.id) > 0) {
+  if (pending_cancels_.erase(workflow.id) > 0) {
     dispatcher_->Cancel(workflow.id, BootClock::now());
   }
-  TickSoon();
+  ScheduleTick();
 }
 
 void WorkOwner::OnWorkflowStored(const Workflow& workflow) {
-  // While loading, the load finds it.
+  // While loaded_rows, the load finds it.
   if (!dispatcher_ || dispatcher_->Knows(workflow.id)) return;
   if (workflow.offered_to == options_.epoch) {
     Add(workflow, std::nullopt);
@@ -244,7 +247,7 @@
   if (!dispatcher_) return;
   const auto state = dispatcher_->StateOf(workflow);
   if (!state) {
-    early_cancels_.insert(workflow);
+    pending_cancels_.insert(workflow);
     return;
   }
   if (*state >= WorkflowState::kCompleted) {
@@ -252,7 +255,7 @@
     return;
   }
   dispatcher_->Cancel(workflow, BootClock::now());
-  TickSoon();
+  ScheduleTick();
 }
 
 std::optional<WorkflowState> WorkOwner::StateOf(
@@ -265,10 +268,10 @@
   return dispatcher_->WaitingIn(queue);
 }
 
-void WorkOwner::TickSoon() {
+void WorkOwner::ScheduleTick() {
   if (tick_pending_) return;
   tick_pending_ = true;
-  tick_soon_ = loop_.After(kTickDelay, [this] { Tick(); });
+  scheduled_tick_ = loop_.After(kTickDelay, [this] { Tick(); });
 }
 
 void WorkOwner::Tick() {
@@ -282,17 +285,17 @@
   metrics_.starts->Add(starts - starts_counted_);
   starts_counted_ = starts;
   MaybeCommit();
-  AskAdvisor();
+  RequestAdvice();
   Flush();
   CheckLinks();
 }
 
-void WorkOwner::AskAdvisor() {
+void WorkOwner::RequestAdvice() {
   for (const AdviceRequest& request : dispatcher_->TakeAdviceRequests()) {
     advisor_(request, lifetime_.Guard([this, step = request.step](
                                           std::optional<Advice> advice) {
       dispatcher_->OnAdvice(step, advice, BootClock::now());
-      TickSoon();
+      ScheduleTick();
     }));
   }
 }
@@ -305,7 +308,7 @@
   }
 }
 
-std::vector<RowWrite> WorkOwner::WritesOf(const DispatchCommit& commit) {
+std::vector<RowWrite> WorkOwner::BuildWrites(const DispatchCommit& commit) {
   std::vector<RowWrite> writes;
   const auto remove = [&writes](const std::string& key) {
     writes.push_back({key, kAnyVersion, std::nullopt});
@@ -321,8 +324,8 @@
     remove(rows::kCancels + id);
   }
   const TimePoint now = BootClock::now();
-  if (now - pressure_stored_at_ >= kStorePressureInterval) {
-    pressure_stored_at_ = now;
+  if (now - interference_stored_at_ >= kStoreInterferenceInterval) {
+    interference_stored_at_ = now;
     writes.push_back({rows::kPressure, kAnyVersion,
                       EncodeRecord(dispatcher_->LearnedPressure())});
   }
@@ -337,23 +340,23 @@
 void WorkOwner::MaybeCommit() {
   const TimePoint now = BootClock::now();
   if (keeper_.committing() || !keeper_.MayAct()) return;
-  if (now < commit_after_ && !quiet_) return;
-  if (quiet_stored_ && on_quiet_) {
-    std::exchange(on_quiet_, nullptr)();
+  if (now < next_commit_at_ && !quiescing_) return;
+  if (quiesce_committed_ && on_quiesced_) {
+    std::exchange(on_quiesced_, nullptr)();
     return;
   }
   const auto commit = dispatcher_->TakeCommit(now);
   if (!commit && dispatcher_->WantsConfirmation(now)) {
-    commit_after_ = now + options_.commit_interval;
-    keeper_.Commit({}, lifetime_.Guard([this](bool) { TickSoon(); }));
+    next_commit_at_ = now + options_.commit_interval;
+    keeper_.Commit({}, lifetime_.Guard([this](bool) { ScheduleTick(); }));
     return;
   }
   if (!commit) {
-    if (quiet_ && on_quiet_) std::exchange(on_quiet_, nullptr)();
+    if (quiescing_ && on_quiesced_) std::exchange(on_quiesced_, nullptr)();
     return;
   }
-  commit_after_ = now + options_.commit_interval;
-  keeper_.Commit(WritesOf(*commit),
+  next_commit_at_ = now + options_.commit_interval;
+  keeper_.Commit(BuildWrites(*commit),
                  lifetime_.Guard([this, now](bool committed) {
                    OnCommitted(committed, now);
                  }));
@@ -364,21 +367,21 @@
   if (committed) {
     metrics_.commit->Record(now - sent_at);
     dispatcher_->OnCommitted();
-    quiet_stored_ = quiet_ && sent_at >= quiet_since_;
+    quiesce_committed_ = quiescing_ && sent_at >= quiesce_started_at_;
   } else {
     Log(LogLevel::kWarning, "commit_failed", {{"epoch", options_.epoch}});
     dispatcher_->OnCommitFailed();
-    commit_after_ = now + kCommitRetry;
+    next_commit_at_ = now + kCommitRetryDelay;
   }
   Flush();
-  TickSoon();
+  ScheduleTick();
 }
 
 void WorkOwner::Quiesce(std::function<void()> done) {
-  quiet_ = true;
-  quiet_since_ = BootClock::now();
-  on_quiet_ = std::move(done);
-  if (!dispatcher_) std::exchange(on_quiet_, nullptr)();
+  quiescing_ = true;
+  quiesce_started_at_ = BootClock::now();
+  on_quiesced_ = std::move(done);
+  if (!dispatcher_) std::exchange(on_quiesced_, nullptr)();
 }
 
 }  // namespace beamhill
--- a/beamhill/scheduler/work_owner.h
+++ b/beamhill/scheduler/work_owner.h
@@ -45,7 +45,7 @@
   Duration earlier_vm_scan_interval = std::chrono::seconds(15);
   // How often missed notices of submissions and cancellations are: see
   // kOrderLife.
-  Duration notice_scan_interval = std::chrono::milliseconds(800);
+  Duration marker_scan_interval = std::chrono::milliseconds(800);
   // Least time between the beginnings of two transactions.
   Duration commit_interval = std::chrono::milliseconds(40);
 };
@@ -97,14 +97,14 @@
     // Its row is one that executors of this version write.
     bool registered = false;
   };
-  struct Loading;
+  struct LoadedRows;
 
   // In work_owner_vms.cc.
   void ScanVms();
   void ScanEarlierVms();
   void OnVmRows(const std::vector<Row>& rows);
   void OnEarlierVmRows(const std::vector<Row>& rows);
-  void ConnectUnlessKnown(const VmRecord& record);
+  void ConnectIfChanged(const VmRecord& record);
   void Connect(const VmRecord& record);
   void OnVmMessage(const std::string& vm, const DispatchMessage& message);
   // Breaks links without a sign of life, and logs which came and went.
@@ -113,29 +113,29 @@
   // In work_owner_log.cc.
   void LogSummary();
   void LogOrphans();
-  void LogPressureNews();
+  void LogInterferenceChanges();
 
   void Load();
-  void LoadNext(std::shared_ptr<Loading> loading);
+  void LoadNext(std::shared_ptr<LoadedRows> loaded_rows);
   // From here on it is loaded().
-  void CreateDispatcher(const Loading& loading, TimePoint now);
-  void AddLoadedWorkflows(const Loading& loading, TimePoint now);
-  void OnLoaded(const Loading& loading);
-  void ScanNotices();
-  void OnArrivalRows(const std::vector<Row>& rows);
+  void CreateDispatcher(const LoadedRows& loaded_rows, TimePoint now);
+  void AddLoadedWorkflows(const LoadedRows& loaded_rows, TimePoint now);
+  void OnLoaded(const LoadedRows& loaded_rows);
+  void ScanMarkers();
+  void OnMarkerRows(const std::vector<Row>& rows);
   void LoadWorkflow(const std::string& id);
   void Add(const Workflow& workflow,
            const std::optional<ProgressRecord>& record);
-  void TickSoon();
+  void ScheduleTick();
   void Tick();
   void Flush();
   void MaybeCommit();
-  void AskAdvisor();
+  void RequestAdvice();
   void OnCommitted(bool committed, TimePoint sent_at);
   // Tells the Dispatcher what it may do by now, and logs when the authority of
   // the ownership is over and when it is back.
   void RefreshAuthority();
-  std::vector<RowWrite> WritesOf(const DispatchCommit& commit);
+  std::vector<RowWrite> BuildWrites(const DispatchCommit& commit);
 
   EventLoop& loop_;
   Table table_;
@@ -144,32 +144,32 @@
   AdvisorHook advisor_;
   EvacuationsHook evacuations_;
   WorkOwnerMetrics metrics_;
-  JobRepository desk_;
+  JobRepository repository_;
   std::unique_ptr<Dispatcher> dispatcher_;
   std::map<std::string, VmPeer> vms_;
   // Since the last log lines about them.
-  std::vector<std::string> linked_;
-  std::vector<std::string> unlinked_;
+  std::vector<std::string> newly_linked_;
+  std::vector<std::string> newly_unlinked_;
   std::set<std::string> loading_workflows_;
-  std::set<std::string> early_cancels_;  // Of workflows not added yet.
-  std::set<std::string> stale_markers_;  // To remove with the next commit.
+  std::set<std::string> pending_cancels_;  // Of workflows not added yet.
+  std::set<std::string> stale_markers_;    // To remove with the next commit.
   bool scanning_vms_ = false;
-  bool scanning_notices_ = false;
-  bool quiet_ = false;
-  TimePoint quiet_since_{};
+  bool scanning_markers_ = false;
+  bool quiescing_ = false;
+  TimePoint quiesce_started_at_{};
   // A transaction that was made since has taken effect.
-  bool quiet_stored_ = false;
-  std::function<void()> on_quiet_;
-  TimePoint commit_after_{};
-  TimePoint pressure_stored_at_{};
+  bool quiesce_committed_ = false;
+  std::function<void()> on_quiesced_;
+  TimePoint next_commit_at_{};
+  TimePoint interference_stored_at_{};
   uint64_t starts_counted_ = 0;
-  bool has_authority_ = true;
-  Timer tick_soon_;
+  bool had_authority_ = true;
+  Timer scheduled_tick_;
   bool tick_pending_ = false;
   Timer tick_;
   Timer vm_scan_;
   Timer earlier_vm_scan_;
-  Timer notice_scan_;
+  Timer marker_scan_;
   Timer summary_;
   Timer reload_;
   Lifetime lifetime_;
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 // Longer than an owner may act without the table.
-constexpr Duration kPastAuthority = seconds(9);
+constexpr Duration kBeyondAuthorityTerm = seconds(9);
 
 // An executor that shows what it is given and notes what it is told.
 class RecordingVm {
@@ -39,7 +39,8 @@
   }
 
   // What the next inventory shows.
-  void Show(std::vector<RunRef> running, std::vector<RunEnd> ended = {}) {
+  void SetInventory(std::vector<RunRef> running,
+                    std::vector<RunEnd> ended = {}) {
     running_ = std::move(running);
     ended_ = std::move(ended);
   }
@@ -60,7 +61,7 @@
   bool attached() const { return epoch_ != 0; }
   const std::set<RunRef>& started() const { return started_; }
   const std::set<RunRef>& stopped() const { return stopped_; }
-  uint64_t settled() const { return settled_; }
+  uint64_t acknowledged_through() const { return acknowledged_through_; }
 
  private:
   void Send(const DispatchMessage& message) {
@@ -90,8 +91,8 @@
       }
     } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
       stopped_.insert(stops->runs.begin(), stops->runs.end());
-    } else if (const auto* settled = std::get_if<EndsSettled>(&message)) {
-      settled_ = std::max(settled_, settled->through);
+    } else if (const auto* ends = std::get_if<EndsSettled>(&message)) {
+      acknowledged_through_ = std::max(acknowledged_through_, ends->through);
     }
   }
 
@@ -102,13 +103,13 @@
   std::vector<RunEnd> ended_;
   std::set<RunRef> started_;
   std::set<RunRef> stopped_;
-  uint64_t settled_ = 0;
+  uint64_t acknowledged_through_ = 0;
   Timer beat_;
 };
 
 class WorkOwnerAuthorityTest : public WorkOwnerTest {
  protected:
-  static Workflow Job(const std::string& id, bool lasting) {
+  static Workflow Job(const std::string& id, bool is_long_running) {
     Workflow workflow;
     workflow.id = id;
     workflow.queue = "q";
@@ -118,7 +119,7 @@
     workflow.steps[0].tasks = 1;
     workflow.steps[0].each = {1000, 1000, 0};
     workflow.steps[0].declared_run = seconds(1);
-    workflow.steps[0].long_running = lasting;
+    workflow.steps[0].long_running = is_long_running;
     return workflow;
   }
 
@@ -133,22 +134,22 @@
   }
 
   // Its authority is over, as after an outage of the table that goes on.
-  void LoseTable() {
+  void ExpireAuthority() {
     table_.set_fault(TableFault::kDown);
-    clock_ahead_ = kPastAuthority;
+    clock_ahead_ = kBeyondAuthorityTerm;
     ASSERT_TRUE(RunUntil([this] { return !keeper_->MayAct(); }));
   }
-  void ReturnTable() { table_.set_fault(TableFault::kNone); }
+  void RestoreTable() { table_.set_fault(TableFault::kNone); }
 
-  void Pass(Duration time) {
+  void RunFor(Duration time) {
     const Timer over = loop_->After(time, [this] { loop_->Stop(); });
     loop_->Run();
   }
 
   // The VM holds a run of the only workflow.
-  void HoldRunOf(const Workflow& workflow) {
+  void SetUpHeldRun(const Workflow& workflow) {
     Store({workflow});
-    vm_.Show({RunOf(workflow.id)});
+    vm_.SetInventory({RunOf(workflow.id)});
     ASSERT_TRUE(RunUntil([&] {
       return owner_ && owner_->loaded() &&
              owner_->dispatcher()->HeldRunsOf(workflow.id) == 1;
@@ -156,14 +157,14 @@
   }
 
   // The advisor is asked after the decisions of a round and before they leave.
-  void EndAuthorityAsAStartIsDecided() {
-    Workflow advised = Job("a", /*lasting=*/false);
+  void ExpireAuthorityAfterStartDecision() {
+    Workflow advised = Job("a", /*is_long_running=*/false);
     advised.policy.needs_advice = true;
-    on_advice_asked_ = [this] {
+    on_advice_request_ = [this] {
       table_.set_fault(TableFault::kDown);
-      clock_ahead_ = kPastAuthority;
+      clock_ahead_ = kBeyondAuthorityTerm;
     };
-    Store({advised, Job("w", /*lasting=*/false)});
+    Store({advised, Job("w", /*is_long_running=*/false)});
     ASSERT_TRUE(RunUntil([&] {
       return owner_ && owner_->loaded() && clock_ahead_ > Duration(0) &&
              owner_->dispatcher()->counts().starts > 0;
@@ -178,18 +179,18 @@
 };
 
 TEST_F(WorkOwnerAuthorityTest, WorkThatIsCancelledMeanwhileIsStopped) {
-  HoldRunOf(Job("w", /*lasting=*/true));
-  LoseTable();
+  SetUpHeldRun(Job("w", /*is_long_running=*/true));
+  ExpireAuthority();
   owner_->OnCancelStored("w");
-  Pass(milliseconds(100));
-  ReturnTable();
+  RunFor(milliseconds(100));
+  RestoreTable();
   EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(RunOf("w")) > 0; }));
 }
 
 // A VM shows it when it was out of reach at the cancellation.
 TEST_F(WorkOwnerAuthorityTest,
        WorkOfACancelledJobThatIsFoundMeanwhileIsStopped) {
-  Store({Job("w", /*lasting=*/true)});
+  Store({Job("w", /*is_long_running=*/true)});
   ASSERT_TRUE(RunUntil([&] { return vm_.started().size() == 1; }));
   owner_->OnCancelStored("w");
   ASSERT_TRUE(RunUntil([&] { return vm_.stopped().size() == 1; }));
@@ -197,41 +198,41 @@
   vm_.ReportEnd({1, run, RunEndKind::kStopped, ""});
   ASSERT_TRUE(
       RunUntil([&] { return owner_->dispatcher()->HeldRunsOf("w") == 0; }));
-  LoseTable();
-  const RunRef found = RunOf("w", run.run + 1);
-  vm_.Show({found});
+  ExpireAuthority();
+  const RunRef cancelled_run = RunOf("w", run.run + 1);
+  vm_.SetInventory({cancelled_run});
   vm_.SendInventory();
-  Pass(milliseconds(100));
-  ReturnTable();
-  EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(found) > 0; }));
+  RunFor(milliseconds(100));
+  RestoreTable();
+  EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(cancelled_run) > 0; }));
 }
 
 // The answer to the transaction that makes an end durable comes so late that
 // the authority is over.
 TEST_F(WorkOwnerAuthorityTest, EndThatIsStoredMeanwhileIsSettled) {
-  HoldRunOf(Job("w", /*lasting=*/false));
-  Pass(milliseconds(300));
-  hold_commits_ = true;
+  SetUpHeldRun(Job("w", /*is_long_running=*/false));
+  RunFor(milliseconds(300));
+  hold_commit_answers_ = true;
   vm_.ReportEnd({1, RunOf("w"), RunEndKind::kDone, ""});
   ASSERT_TRUE(RunUntil([&] {
     return table_.model().rows().count(rows::kProgress + std::string("w")) >
                0 &&
            !held_answers_.empty();
   }));
-  LoseTable();
-  AnswerHeldCommits();
-  Pass(milliseconds(100));
+  ExpireAuthority();
+  ReleaseHeldAnswers();
+  RunFor(milliseconds(100));
   EXPECT_FALSE(keeper_->MayAct());
-  ReturnTable();
-  EXPECT_TRUE(RunUntil([&] { return vm_.settled() >= 1; }));
+  RestoreTable();
+  EXPECT_TRUE(RunUntil([&] { return vm_.acknowledged_through() >= 1; }));
 }
 
 // The authority ends between the decision and the sending of a start, which a
 // large deployment makes milliseconds long.
 TEST_F(WorkOwnerAuthorityTest, StartThatIsDecidedAsItEndsIsCarriedOut) {
-  EndAuthorityAsAStartIsDecided();
-  Pass(milliseconds(100));
-  ReturnTable();
+  ExpireAuthorityAfterStartDecision();
+  RunFor(milliseconds(100));
+  RestoreTable();
   EXPECT_TRUE(RunUntil([&] {
     return std::any_of(
         vm_.started().begin(), vm_.started().end(),
@@ -241,17 +242,17 @@
 
 // What is kept until the authority is back does not leave before.
 TEST_F(WorkOwnerAuthorityTest, NoStopLeavesWithoutAuthority) {
-  HoldRunOf(Job("w", /*lasting=*/true));
-  LoseTable();
+  SetUpHeldRun(Job("w", /*is_long_running=*/true));
+  ExpireAuthority();
   owner_->OnCancelStored("w");
-  Pass(milliseconds(300));
+  RunFor(milliseconds(300));
   EXPECT_FALSE(keeper_->MayAct());
   EXPECT_TRUE(vm_.stopped().empty());
 }
 
 TEST_F(WorkOwnerAuthorityTest, NoStartLeavesOnceTheAuthorityHasEnded) {
-  EndAuthorityAsAStartIsDecided();
-  Pass(milliseconds(300));
+  ExpireAuthorityAfterStartDecision();
+  RunFor(milliseconds(300));
   EXPECT_FALSE(keeper_->MayAct());
   EXPECT_TRUE(vm_.started().empty());
 }
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // Pairs of images in a log line: below 4 KiB with the users' names.
-constexpr size_t kPairsOfLine = 60;
+constexpr size_t kPairsPerLine = 60;
 // Of one summary.
-constexpr size_t kOrphanLines = 10;
+constexpr size_t kMaxOrphanLines = 10;
 
 }  // namespace
 
@@ -31,14 +31,14 @@
        {"open_workflows", summary.open_workflows},
        {"suspects", summary.suspects},
        {"given_up", summary.given_up}});
-  LogPressureNews();
+  LogInterferenceChanges();
   LogOrphans();
 }
 
 void WorkOwner::LogOrphans() {
   size_t lines = 0;
   for (const OrphanedWork& work : dispatcher_->Orphans(BootClock::now())) {
-    if (work.age < kCancelLimit || ++lines > kOrphanLines) return;
+    if (work.age < kCancelLimit || ++lines > kMaxOrphanLines) return;
     Log(LogLevel::kWarning, "work_orphaned",
         {{"request", work.workflow},
          {"epoch", options_.epoch},
@@ -48,9 +48,9 @@
   }
 }
 
-void WorkOwner::LogPressureNews() {
+void WorkOwner::LogInterferenceChanges() {
   std::string pairs;
-  for (const PressureWeight& weight : dispatcher_->TakeNews(kPairsOfLine)) {
+  for (const PressureWeight& weight : dispatcher_->TakeNews(kPairsPerLine)) {
     const auto millis = static_cast<int64_t>(ToMillis(weight.per_vm));
     if (!pairs.empty()) pairs += " ";
     pairs +=
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -64,9 +64,9 @@
 
 // An executor whose runner holds all tasks of a workflow, one of which ends
 // every millisecond or two.
-class BusyVm {
+class VmWithEndingRuns {
  public:
-  BusyVm(EventLoop& loop, std::string workflow, uint32_t tasks)
+  VmWithEndingRuns(EventLoop& loop, std::string workflow, uint32_t tasks)
       : workflow_(std::move(workflow)), tasks_(tasks) {
     auto listener = LinkListener::Listen(loop, {"127.0.0.1", 0},
                                          [this](Link&) { return Hooks(); });
@@ -77,7 +77,7 @@
   VmRecord Record() const {
     return {"busy", ToString(Address{"127.0.0.1", listener_->port()})};
   }
-  uint32_t ended() const { return ended_; }
+  uint32_t ended() const { return ended_count_; }
 
  private:
   RunRef Run(uint32_t task) const { return {{workflow_, 0, 0, task}, 1}; }
@@ -103,12 +103,13 @@
   }
 
   void EndOne() {
-    if (link_ == nullptr || ended_ == tasks_) return;
+    if (link_ == nullptr || ended_count_ == tasks_) return;
     RunReports reports;
     reports.epoch = epoch_;
     reports.life = "life";
-    reports.ended = {{ended_ + 1, Run(ended_), RunEndKind::kDone, ""}};
-    ++ended_;
+    reports.ended = {
+        {ended_count_ + 1, Run(ended_count_), RunEndKind::kDone, ""}};
+    ++ended_count_;
     link_->Send(EncodeDispatch(reports));
   }
 
@@ -117,7 +118,7 @@
   std::unique_ptr<LinkListener> listener_;
   Link* link_ = nullptr;
   uint64_t epoch_ = 0;
-  uint32_t ended_ = 0;
+  uint32_t ended_count_ = 0;
   Timer ends_;
 };
 
@@ -126,7 +127,7 @@
 TEST_F(WorkOwnerTest, OrderIsOverInTimeForACancellationThatOnlyTheTableTells) {
   constexpr Duration kAllowed = seconds(3);
   constexpr Duration kReadAndSend = milliseconds(300);
-  EXPECT_LE(WorkOwnerOptions{}.notice_scan_interval + kReadAndSend + kOrderLife,
+  EXPECT_LE(WorkOwnerOptions{}.marker_scan_interval + kReadAndSend + kOrderLife,
             kAllowed);
 }
 
@@ -171,14 +172,14 @@
 // owner of 800 VMs started nothing for 1.1 s before it gave the work up.
 TEST_F(WorkOwnerTest, StopDoesNotWaitUntilNothingEndsAnyMore) {
   constexpr uint32_t kTasks = 3000;
-  constexpr uint32_t kEndedMeanwhile =
+  constexpr uint32_t kMaxEndedBeforeQuiesce =
       500;  // Some two transactions, and slack.
   Workflow workflow;
   workflow.id = "wide";
   workflow.service = "web";
   workflow.steps.resize(1);
   workflow.steps[0].tasks = kTasks;
-  BusyVm vm(*loop_, workflow.id, kTasks);
+  VmWithEndingRuns vm(*loop_, workflow.id, kTasks);
   Transaction rows;
   rows.writes.push_back({rows::kExecutors + vm.Record().vm, kAnyVersion,
                          EncodeRecord(vm.Record())});
@@ -190,7 +191,7 @@
   bool quiet = false;
   owner_->Quiesce([&] { quiet = true; });
   EXPECT_TRUE(RunUntil([&] { return quiet; }));
-  EXPECT_LE(vm.ended() - before, kEndedMeanwhile);
+  EXPECT_LE(vm.ended() - before, kMaxEndedBeforeQuiesce);
   EXPECT_EQ(table_.model().rows().count("progress/wide"), 1);
 }
 
--- a/beamhill/scheduler/work_owner_test_base.h
+++ b/beamhill/scheduler/work_owner_test_base.h
@@ -20,7 +20,7 @@
 namespace beamhill {
 
 // How long a test waits for what it expects before it fails.
-inline constexpr Duration kPatience = std::chrono::seconds(5);
+inline constexpr Duration kTestTimeout = std::chrono::seconds(5);
 
 class WorkOwnerTest : public testing::Test {
  protected:
@@ -32,25 +32,25 @@
     hooks.random = [] { return 0.5; };
     hooks.claim_delay = [] { return Duration(0); };
     hooks.on_follow = [](const OwnerRecord&) {};
-    hooks.on_taken = [this](uint64_t epoch, bool, bool) { Own(epoch); };
+    hooks.on_taken = [this](uint64_t epoch, bool, bool) { StartOwner(epoch); };
     hooks.on_lost = [] {};
     hooks.log = [](const std::string&, const std::string&) {};
     OwnershipKeeperOptions options;
     options.name = "owner";
     options.incarnation = 1;
-    keeper_ = std::make_unique<OwnershipKeeper>(options, Held(table_.AsTable()),
-                                                std::move(hooks));
+    keeper_ = std::make_unique<OwnershipKeeper>(
+        options, WithHeldCommits(table_.AsTable()), std::move(hooks));
     tick_ = loop_->Every(std::chrono::milliseconds(20),
                          [this] { keeper_->Tick(); });
   }
 
-  void Own(uint64_t epoch) {
+  void StartOwner(uint64_t epoch) {
     WorkOwnerOptions options = options_;
     options.epoch = epoch;
     owner_ = std::make_unique<WorkOwner>(
         *loop_, table_.AsTable(), *keeper_, options,
         [this](const AdviceRequest&, auto done) {
-          if (on_advice_asked_) on_advice_asked_();
+          if (on_advice_request_) on_advice_request_();
           done(std::nullopt);
         },
         [this]() -> const Evacuations& { return evacuations_; },
@@ -59,11 +59,11 @@
   }
 
   // The table, with answers to transactions that can be held back.
-  Table Held(Table table) {
+  Table WithHeldCommits(Table table) {
     table.commit = [this, commit = table.commit](Transaction transaction,
                                                  CommitDone done) {
       commit(std::move(transaction), [this, done](const CommitAnswer& answer) {
-        if (hold_commits_) {
+        if (hold_commit_answers_) {
           held_answers_.push_back([done, answer] { done(answer); });
         } else {
           done(answer);
@@ -72,8 +72,8 @@
     };
     return table;
   }
-  void AnswerHeldCommits() {
-    hold_commits_ = false;
+  void ReleaseHeldAnswers() {
+    hold_commit_answers_ = false;
     for (const auto& answer : std::exchange(held_answers_, {})) answer();
   }
 
@@ -84,7 +84,7 @@
       held = condition();
       if (held) loop_->Stop();
     });
-    const Timer give_up = loop_->After(kPatience, [this] { loop_->Stop(); });
+    const Timer give_up = loop_->After(kTestTimeout, [this] { loop_->Stop(); });
     loop_->Run();
     return held;
   }
@@ -95,8 +95,8 @@
   WorkOwnerOptions options_;
   // Of the clock by which the ownership is kept.
   Duration clock_ahead_{};
-  std::function<void()> on_advice_asked_;
-  bool hold_commits_ = false;
+  std::function<void()> on_advice_request_;
+  bool hold_commit_answers_ = false;
   std::vector<std::function<void()>> held_answers_;
   Metrics metrics_;
   std::unique_ptr<OwnershipKeeper> keeper_;
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -12,16 +12,16 @@
 
 // A VM whose executor has said nothing for so long is asked what it holds, and
 // is dialed anew if it does not even answer pings.
-constexpr Duration kVmSilence = std::chrono::milliseconds(2500);
-constexpr Duration kReattachPause = std::chrono::milliseconds(300);
+constexpr Duration kVmLinkTimeout = std::chrono::milliseconds(2500);
+constexpr Duration kReattachDelay = std::chrono::milliseconds(300);
 // VMs of one log line: below 4 KiB with the users' names.
-constexpr size_t kVmsOfLine = 100;
+constexpr size_t kVmsPerLine = 100;
 
 // One line for many: hundreds of VMs are linked in the moment of a takeover,
 // and a line for each would be dropped.
 void LogVms(LogLevel level, const char* event, std::vector<std::string>& vms) {
-  for (size_t first = 0; first < vms.size(); first += kVmsOfLine) {
-    const size_t end = std::min(first + kVmsOfLine, vms.size());
+  for (size_t first = 0; first < vms.size(); first += kVmsPerLine) {
+    const size_t end = std::min(first + kVmsPerLine, vms.size());
     std::string names;
     for (size_t i = first; i < end; ++i) {
       if (!names.empty()) names += " ";
@@ -58,7 +58,7 @@
     const auto record = DecodeRecord<VmRecord>(row.value);
     if (!IsOk(record)) continue;
     const std::string& name = ValueOf(record).vm;
-    ConnectUnlessKnown(ValueOf(record));
+    ConnectIfChanged(ValueOf(record));
     const auto it = vms_.find(name);  // None for an address that is none.
     if (it != vms_.end()) it->second.registered = true;
   }
@@ -72,11 +72,11 @@
     if (!IsOk(record)) continue;
     const auto it = vms_.find(ValueOf(record).vm);
     if (it != vms_.end() && it->second.registered) continue;
-    ConnectUnlessKnown(ValueOf(record));
+    ConnectIfChanged(ValueOf(record));
   }
 }
 
-void WorkOwner::ConnectUnlessKnown(const VmRecord& record) {
+void WorkOwner::ConnectIfChanged(const VmRecord& record) {
   const auto it = vms_.find(record.vm);
   const bool known =
       it != vms_.end() && it->second.record.address == record.address;
@@ -96,7 +96,7 @@
   const std::string name = record.vm;
   DialedPeerHooks hooks;
   hooks.on_open = [this, name] {
-    linked_.push_back(name);
+    newly_linked_.push_back(name);
     dispatcher_->OnLinkUp(name);
     Flush();
   };
@@ -104,7 +104,7 @@
     OnVmMessage(name, message);
   };
   hooks.on_down = [this, name](bool was_open) {
-    if (was_open) unlinked_.push_back(name);
+    if (was_open) newly_unlinked_.push_back(name);
     dispatcher_->OnLinkDown(name);
   };
   vm.peer =
@@ -115,8 +115,8 @@
                             const DispatchMessage& message) {
   const TimePoint now = BootClock::now();
   RefreshAuthority();
-  if (const auto* beat = std::get_if<VmHeartbeat>(&message)) {
-    dispatcher_->OnHeartbeat(vm, *beat, now);
+  if (const auto* heartbeat = std::get_if<VmHeartbeat>(&message)) {
+    dispatcher_->OnHeartbeat(vm, *heartbeat, now);
     Flush();
     return;
   }
@@ -130,8 +130,8 @@
   } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
     if (!dispatcher_->OnInventory(vm, *inventory, now)) {
       Log(LogLevel::kInfo, "inventory_with_unknown_work", {{"vm", vm}});
-      ScanNotices();
-      vms_.at(vm).reattach = loop_.After(kReattachPause, [this, vm] {
+      ScanMarkers();
+      vms_.at(vm).reattach = loop_.After(kReattachDelay, [this, vm] {
         // A link that has closed meanwhile attaches when it opens again.
         if (!vms_.at(vm).peer->is_open()) return;
         dispatcher_->OnLinkUp(vm);
@@ -140,16 +140,16 @@
       return;
     }
   }
-  TickSoon();
+  ScheduleTick();
 }
 
 void WorkOwner::CheckLinks() {
   for (auto& [name, vm] : vms_) {
-    vm.peer->CloseIfSilent(kVmSilence);
-    if (vm.peer->SinceMessage() > kVmSilence) dispatcher_->OnVmSilent(name);
+    vm.peer->CloseIfSilent(kVmLinkTimeout);
+    if (vm.peer->SinceMessage() > kVmLinkTimeout) dispatcher_->OnVmSilent(name);
   }
-  LogVms(LogLevel::kInfo, "vms_linked", linked_);
-  LogVms(LogLevel::kWarning, "vms_unlinked", unlinked_);
+  LogVms(LogLevel::kInfo, "vms_linked", newly_linked_);
+  LogVms(LogLevel::kWarning, "vms_unlinked", newly_unlinked_);
 }
 
 }  // namespace beamhill
--- a/beamhill/standby/standby_owner.cc
+++ b/beamhill/standby/standby_owner.cc
@@ -9,9 +9,9 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 // After its address could not be listened on.
-constexpr Duration kJoinPause = std::chrono::seconds(2);
+constexpr Duration kJoinRetryDelay = std::chrono::seconds(2);
 // Below every scheduler: it claims last and hands over to any of them.
-constexpr double kStrength = 0.05;
+constexpr double kHostCapacity = 0.05;
 // Schedulers that live claim within a second once the table answers; after an
 // outage all processes see a free row at the same moment.
 constexpr Duration kClaimDelay = std::chrono::milliseconds(2500);
@@ -33,7 +33,7 @@
       hooks_(std::move(hooks)) {
   metrics.AddGauge("beamhill_standing_in",
                    "1 while this process stands in for schedulers.",
-                   [this] { return stands_in() ? 1.0 : 0.0; });
+                   [this] { return is_active() ? 1.0 : 0.0; });
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
 }
 
@@ -42,13 +42,13 @@
 void StandbyOwner::Tick() {
   if (scheduler_) {
     LeaveIfNotNeeded(hooks_.now());
-  } else if (hooks_.since_owner() >= settings_.patience &&
-             hooks_.now() >= join_after_) {
+  } else if (hooks_.since_owner() >= settings_.owner_timeout &&
+             hooks_.now() >= join_retry_at_) {
     Join();
   }
 }
 
-SchedulerHooks StandbyOwner::HooksOfScheduler() {
+SchedulerHooks StandbyOwner::MakeSchedulerHooks() {
   SchedulerHooks hooks;
   hooks.store_silence = hooks_.store_silence;
   hooks.settings_version = [this] { return settings_version_; };
@@ -69,15 +69,15 @@
   SchedulerSettings settings;
   settings.name = settings_.name;
   settings.peers = settings_.peers;
-  settings.host_capacity = kStrength;
+  settings.host_capacity = kHostCapacity;
   settings.claim_delay = kClaimDelay;
   scheduler_metrics_ = std::make_unique<Metrics>();
-  auto scheduler = Scheduler::Start(loop_, settings, table_, HooksOfScheduler(),
-                                    *scheduler_metrics_);
+  auto scheduler = Scheduler::Start(loop_, settings, table_,
+                                    MakeSchedulerHooks(), *scheduler_metrics_);
   if (!IsOk(scheduler)) {
     Log(LogLevel::kError, "cannot_stand_in",
         {{"error", ErrorOf(scheduler).message}});
-    join_after_ = hooks_.now() + kJoinPause;
+    join_retry_at_ = hooks_.now() + kJoinRetryDelay;
     return;
   }
   Log(LogLevel::kWarning, "standing_in",
@@ -89,13 +89,13 @@
 
 void StandbyOwner::LeaveIfNotNeeded(TimePoint now) {
   const bool needed =
-      scheduler_->owns() || hooks_.since_owner() >= settings_.patience;
+      scheduler_->owns() || hooks_.since_owner() >= settings_.owner_timeout;
   if (needed) {
     not_needed_since_.reset();
     return;
   }
   if (!not_needed_since_) not_needed_since_ = now;
-  if (now - *not_needed_since_ < settings_.farewell) return;
+  if (now - *not_needed_since_ < settings_.leave_delay) return;
   Log(LogLevel::kInfo, "no_longer_standing_in", {});
   scheduler_.reset();
   hooks_.watch_evacuations(false);
--- a/beamhill/standby/standby_owner.h
+++ b/beamhill/standby/standby_owner.h
@@ -27,9 +27,9 @@
   Address peers;  // Where schedulers dial this process.
   // Without a word of an owner for so long it stands in; schedulers take over
   // sooner.
-  Duration patience = std::chrono::milliseconds(3500);
+  Duration owner_timeout = std::chrono::milliseconds(3500);
   // It leaves when another owner has been heard for so long.
-  Duration farewell = std::chrono::seconds(3);
+  Duration leave_delay = std::chrono::seconds(3);
 };
 
 struct StandbyHooks {
@@ -55,7 +55,7 @@
                                               Metrics& metrics);
   ~StandbyOwner();
 
-  bool stands_in() const { return scheduler_ != nullptr; }
+  bool is_active() const { return scheduler_ != nullptr; }
   std::string Dump() const;
 
  private:
@@ -64,7 +64,7 @@
   void Tick();
   void Join();
   void LeaveIfNotNeeded(TimePoint now);
-  SchedulerHooks HooksOfScheduler();
+  SchedulerHooks MakeSchedulerHooks();
 
   EventLoop& loop_;
   StandbySettings settings_;
@@ -76,7 +76,7 @@
   // Of the scheduler, whose figures go with it.
   std::unique_ptr<Metrics> scheduler_metrics_;
   std::unique_ptr<Scheduler> scheduler_;
-  TimePoint join_after_{};
+  TimePoint join_retry_at_{};
   std::optional<TimePoint> not_needed_since_;
   Timer tick_;
 };
