--- a/beamhill/standby/standby_owner.cc
+++ b/beamhill/standby/standby_owner.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(250);
-// After its address could not be listened on.
+// Delay after a failure to listen on the address.
 constexpr Duration kJoinRetryDelay = std::chrono::seconds(2);
-// Below every scheduler: it claims last and hands over to any of them.
+// Below every scheduler, so that it claims last and hands over to any of them.
 constexpr double kHostCapacity = 0.05;
-// Schedulers that live claim within a second once the table answers; after an
-// outage all processes see a free row at the same moment.
+// Running schedulers claim within a second once the table answers; after an
+// outage all processes see a free row at the same time.
 constexpr Duration kClaimDelay = std::chrono::milliseconds(2500);
 
 }  // namespace
@@ -32,7 +32,7 @@
       table_(std::move(table)),
       hooks_(std::move(hooks)) {
   metrics.AddGauge("beamhill_standing_in",
-                   "1 while this process stands in for schedulers.",
+                   "1 while this process acts as standby for the schedulers.",
                    [this] { return is_active() ? 1.0 : 0.0; });
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
 }
--- a/beamhill/standby/standby_owner.h
+++ b/beamhill/standby/standby_owner.h
@@ -1,10 +1,11 @@
-// Owns the deployment's work when no scheduler is left to do so.
+// Owns the deployment's work when no scheduler is left.
 //
-// Every entry VM may go for good while work still runs. A process beside a
-// runner that has heard no owner for a while joins the schedulers as the
-// weakest of them, and leaves once another one owns the work. Having no lease
-// is no reason: after a start of everything the runners of most VMs have not
-// registered yet, and hundreds of processes would join.
+// All entry VMs may be lost for good while work is still running. A process
+// beside a runner that has not heard an owner for a while joins the schedulers
+// with the lowest capacity of all, and leaves once another process owns the
+// work. A missing lease alone does not count: after a restart of the whole
+// deployment the runners of most VMs have not registered yet, and hundreds of
+// processes would join.
 //
 //   auto standby = StandbyOwner::Create(loop, settings, table, hooks, metrics);
 #ifndef BEAMHILL_STANDBY_STANDBY_OWNER_H_
@@ -24,24 +25,24 @@
 
 struct StandbySettings {
   std::string name;
-  Address peers;  // Where schedulers dial this process.
-  // Without a word of an owner for so long it stands in; schedulers take over
-  // sooner.
+  Address peers;  // Listens here for links from schedulers.
+  // Acts as standby after this long without hearing an owner; schedulers take
+  // over sooner.
   Duration owner_timeout = std::chrono::milliseconds(3500);
-  // It leaves when another owner has been heard for so long.
+  // Leaves after another owner has been heard for this long.
   Duration leave_delay = std::chrono::seconds(3);
 };
 
 struct StandbyHooks {
   std::function<TimePoint()> now;
-  // How long ago this VM last heard an owner.
+  // Time since this VM last heard an owner.
   std::function<Duration()> since_owner;
   std::function<Duration()> store_silence;
   AdvisorHook advisor;
-  // The newest that is known of the data halls to be emptied, and a peer's
-  // copy. `watch_evacuations` begins or ends to follow them: only a process
-  // that stands in needs them, and each that follows asks the table all the
-  // time.
+  // The newest known set of data halls to evacuate, and a callback for a peer's
+  // copy. `watch_evacuations` starts or stops following the set: only a process
+  // that acts as standby needs it, and each follower queries the table
+  // continuously.
   EvacuationsHook evacuations;
   std::function<void(const Evacuations&)> on_evacuations_copy;
   std::function<void(bool follow)> watch_evacuations;
@@ -70,10 +71,10 @@
   StandbySettings settings_;
   Table table_;
   StandbyHooks hooks_;
-  // Service settings that peers have passed on; it passes them on as well.
+  // Service settings received from peers, to be passed on to others.
   uint64_t settings_version_ = 0;
   std::string settings_document_;
-  // Of the scheduler, whose figures go with it.
+  // Metrics of `scheduler_`, which end with it.
   std::unique_ptr<Metrics> scheduler_metrics_;
   std::unique_ptr<Scheduler> scheduler_;
   TimePoint join_retry_at_{};
