--- a/beamhill/scheduler/dialed_peer_test.cc
+++ b/beamhill/scheduler/dialed_peer_test.cc
@@ -1,4 +1,4 @@
-// A dialed link to peers that say nothing, over loopback.
+// Tests DialedPeer over loopback with peers that send nothing.
 #include "beamhill/scheduler/dialed_peer.h"
 
 #include <gtest/gtest.h>
@@ -38,9 +38,10 @@
   int down_count_ = 0;
 };
 
-// Of 800 executors that started at once, 540 were dialed a second time, since
-// their runners had not registered yet and they had nothing to say.
-TEST_F(DialedPeerTest, LinkToAPeerThatHasNothingToSayStaysUp) {
+// Guards against treating an idle peer as failed: when 800 executors started at
+// once, 540 were dialed a second time because their runners had not registered
+// yet and they had nothing to send.
+TEST_F(DialedPeerTest, LinkToIdlePeerStaysUp) {
   const auto listener = LinkListener::Listen(*loop_, {"127.0.0.1", 0},
                                              [](Link&) { return LinkHooks(); });
   const auto peer = Dial({"127.0.0.1", ValueOf(listener)->port()});
@@ -50,8 +51,9 @@
   EXPECT_GE(peer->SinceMessage(), seconds(2));
 }
 
-// It takes connections, as the kernel does for a process that is paused.
-TEST_F(DialedPeerTest, PeerThatDoesNotEvenAnswerPingsIsDialedAgain) {
+// The listener accepts connections, as the kernel does for a paused process,
+// but its loop is no longer run once the link is open.
+TEST_F(DialedPeerTest, RedialsPeerThatAnswersNoPings) {
   auto frozen_loop = std::move(ValueOf(EventLoop::Create()));
   const auto listener = LinkListener::Listen(*frozen_loop, {"127.0.0.1", 0},
                                              [](Link&) { return LinkHooks(); });
--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-PeerView Served(double host_capacity, int silence_ms = 100) {
+PeerView AnsweredPeer(double host_capacity, int silence_ms = 100) {
   return {milliseconds(50), milliseconds(silence_ms), host_capacity};
 }
 
@@ -20,21 +20,21 @@
   return {milliseconds(silence_ms), seconds(10), host_capacity, seconds(5)};
 }
 
-TEST(HandoverTest, StrengthIsWhatIsScarcest) {
+TEST(HandoverTest, ScarcestResourceLimitsCapacity) {
   EXPECT_DOUBLE_EQ(HostCapacity(0.25, 1000), 1);
   EXPECT_DOUBLE_EQ(HostCapacity(0.5, 10), 0.2);
   EXPECT_NEAR(HostCapacity(0.12, 200), 0.48, 1e-9);
 }
 
-TEST(HandoverTest, OnlyWeakHostsLeaveTheRowToOthers) {
+TEST(HandoverTest, OnlyLowCapacityHostsDelayClaims) {
   EXPECT_EQ(ClaimDelay(1), Duration(0));
   EXPECT_EQ(ClaimDelay(4), Duration(0));
   EXPECT_GT(ClaimDelay(0.2), ClaimDelay(0.5));
   EXPECT_LE(ClaimDelay(0), milliseconds(600));
 }
 
-// As counted by those that draw a delay below the first one's and the 10 ms
-// that its claim takes to be seen.
+// Counts the schedulers whose delay ends before the first claim is visible,
+// which takes 10 ms.
 TEST(HandoverTest, FewOfManySchedulersClaimAFreeRow) {
   std::mt19937_64 random(1);
   std::uniform_real_distribution<double> chance(0, 1);
@@ -59,54 +59,57 @@
   }
 }
 
-// Found on the large site (trouble-3): the first peer that a silent store
-// answered again was a weak one, and got the work.
-TEST(HandoverTest, PeerThatIsJustServedGetsNothingYet) {
+// Guards against a handover to the first peer that a recovering table answers:
+// on the large site that peer had low capacity.
+TEST(HandoverTest, WaitsBeforeHandingOverToPeerJustAnswered) {
   OwnerView owner = Owner(2, 4500);
   owner.peer_answered_for = milliseconds(100);
-  EXPECT_FALSE(ShouldHandOver(owner, Served(1)));
+  EXPECT_FALSE(ShouldHandOver(owner, AnsweredPeer(1)));
   owner.peer_answered_for = milliseconds(300);
-  EXPECT_TRUE(ShouldHandOver(owner, Served(1)));
-  EXPECT_FALSE(ShouldHandOver(owner, Served(0.4)));
+  EXPECT_TRUE(ShouldHandOver(owner, AnsweredPeer(1)));
+  EXPECT_FALSE(ShouldHandOver(owner, AnsweredPeer(0.4)));
 }
 
-TEST(HandoverTest, PeersThatAreSilentOrCutOffAreNoChoice) {
+TEST(HandoverTest, IgnoresUnreachablePeers) {
   EXPECT_FALSE(BestSuccessor({}, kMaxStoreSilenceDegraded));
-  EXPECT_FALSE(BestSuccessor({Served(1, 900)}, kMaxStoreSilenceDegraded));
-  PeerView no_heartbeat = Served(1);
+  EXPECT_FALSE(BestSuccessor({AnsweredPeer(1, 900)}, kMaxStoreSilenceDegraded));
+  PeerView no_heartbeat = AnsweredPeer(1);
   no_heartbeat.since_heartbeat = milliseconds(900);
   EXPECT_FALSE(BestSuccessor({no_heartbeat}, kMaxStoreSilenceDegraded));
 }
 
-TEST(HandoverTest, StrongestPeerIsChosenThenTheOneServedLast) {
-  EXPECT_EQ(BestSuccessor({Served(0.2), Served(1.5), Served(0.5)},
-                          kMaxStoreSilenceDegraded),
-            1);
-  // Both have enough; the second was answered later.
+TEST(HandoverTest, PrefersCapacityThenLatestTableAnswer) {
   EXPECT_EQ(
-      BestSuccessor({Served(4, 500), Served(1, 20)}, kMaxStoreSilenceDegraded),
+      BestSuccessor({AnsweredPeer(0.2), AnsweredPeer(1.5), AnsweredPeer(0.5)},
+                    kMaxStoreSilenceDegraded),
       1);
+  // Both have sufficient capacity; the second was answered later.
+  EXPECT_EQ(BestSuccessor({AnsweredPeer(4, 500), AnsweredPeer(1, 20)},
+                          kMaxStoreSilenceDegraded),
+            1);
 }
 
-// A planned stop in calm times: strong peers were answered a second ago.
-TEST(HandoverTest, StrongPeerIsChosenInCalmThoughAWeakOneWasServedLater) {
-  const std::vector<PeerView> peers = {Served(0.2, 20), Served(2, 1400)};
+// A planned stop while the table is healthy: peers of high capacity were last
+// answered a second ago.
+TEST(HandoverTest, HealthyTableAllowsOlderAnswersOfHighCapacityPeers) {
+  const std::vector<PeerView> peers = {AnsweredPeer(0.2, 20),
+                                       AnsweredPeer(2, 1400)};
   EXPECT_EQ(BestSuccessor(peers, kMaxStoreSilenceHealthy), 1);
   EXPECT_EQ(BestSuccessor(peers, kMaxStoreSilenceDegraded), 0);
 }
 
-TEST(HandoverTest, OwnerThatTheStoreDoesNotAnswerGivesWay) {
-  EXPECT_FALSE(ShouldHandOver(Owner(1, 900), Served(1)));
-  EXPECT_TRUE(ShouldHandOver(Owner(1, 1000), Served(0.2)));
+TEST(HandoverTest, OwnerWithoutTableAnswersHandsOver) {
+  EXPECT_FALSE(ShouldHandOver(Owner(1, 900), AnsweredPeer(1)));
+  EXPECT_TRUE(ShouldHandOver(Owner(1, 1000), AnsweredPeer(0.2)));
 }
 
-TEST(HandoverTest, WeakOwnerGivesWayToAMuchStrongerPeer) {
-  EXPECT_TRUE(ShouldHandOver(Owner(0.2, 0), Served(2)));
-  EXPECT_FALSE(ShouldHandOver(Owner(0.2, 0), Served(0.3)));
-  EXPECT_FALSE(ShouldHandOver(Owner(1, 0), Served(4)));
+TEST(HandoverTest, LowCapacityOwnerHandsOverToMuchHigherCapacity) {
+  EXPECT_TRUE(ShouldHandOver(Owner(0.2, 0), AnsweredPeer(2)));
+  EXPECT_FALSE(ShouldHandOver(Owner(0.2, 0), AnsweredPeer(0.3)));
+  EXPECT_FALSE(ShouldHandOver(Owner(1, 0), AnsweredPeer(4)));
   OwnerView recent_owner = Owner(0.2, 0);
   recent_owner.owned_for = seconds(1);
-  EXPECT_FALSE(ShouldHandOver(recent_owner, Served(2)));
+  EXPECT_FALSE(ShouldHandOver(recent_owner, AnsweredPeer(2)));
 }
 
 }  // namespace
--- a/beamhill/scheduler/job_repository_test.cc
+++ b/beamhill/scheduler/job_repository_test.cc
@@ -50,14 +50,14 @@
   JobRepository repository_{table_.AsTable()};
 };
 
-TEST_F(JobRepositoryTest, SameIdStaysOneJob) {
+TEST_F(JobRepositoryTest, SecondSubmissionOfAnIdIsAlreadyStored) {
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
   EXPECT_EQ(Submit("a"), SubmitResult::kAlreadyStored);
 }
 
-// Found on the large site (scale-2): all that came while the store had been
-// silent for seconds was sent, and ended without a clear answer.
-TEST_F(JobRepositoryTest, NothingIsSentToATableThatIsKnownToBeSilent) {
+// Guards against sending to a table that has been unresponsive for seconds: on
+// the large site the outcome of every such submission was unknown.
+TEST_F(JobRepositoryTest, NothingIsSentToAnUnresponsiveTable) {
   repository_.SetTableUnresponsive(true);
   EXPECT_EQ(Submit("a"), SubmitResult::kRefused);
   EXPECT_TRUE(table_.model().rows().empty());
@@ -65,8 +65,8 @@
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
 }
 
-// What waits behind a transaction that the table has not answered is unsent.
-TEST_F(JobRepositoryTest, WhatWaitsBehindAnUnansweredCallIsRefusedUnsent) {
+// A submission that waits behind an unanswered transaction has not been sent.
+TEST_F(JobRepositoryTest, SubmissionBehindAnUnansweredTransactionIsRefused) {
   table_.set_fault(TableFault::kAnswerLost);
   SubmitResult first = SubmitResult::kAccepted;
   SubmitResult second = SubmitResult::kAccepted;
@@ -78,7 +78,7 @@
   EXPECT_EQ(first, SubmitResult::kUnknown);
 }
 
-// A table whose answers a test gives by hand, or never.
+// Holds back the table's answers until the test gives them.
 class JobRepositoryAnswersTest : public JobRepositoryTest {
  protected:
   struct Held {
@@ -133,15 +133,17 @@
   TimePoint now_{std::chrono::hours(1)};
   bool answer_reads_ = true;
   Duration read_latency_{};
-  std::vector<std::function<bool()>> pending_reads_;  // True once answered.
+  // Each returns true once answered.
+  std::vector<std::function<bool()>> pending_reads_;
   std::vector<Held> held_;
   std::map<std::string, SubmitResult> results_;
   std::unique_ptr<JobRepository> held_repository_;
 };
 
-// It held up all that came behind it for the time-out of a call, 1.5 s; on a
-// day on which the store loses three answers in ten, max_entries callers.
-TEST_F(JobRepositoryAnswersTest, LostAnswerHoldsUpNothingForLong) {
+// Guards against a lost answer that blocks later submissions for the timeout of
+// a call, 1.5 s. That affected most callers when the table lost three in ten
+// answers.
+TEST_F(JobRepositoryAnswersTest, LostAnswerDoesNotBlockLaterSubmissions) {
   SubmitHeld("a");
   SubmitHeld("b");
   Advance(std::chrono::milliseconds(250));
@@ -153,14 +155,14 @@
   AnswerHeld(3, CommitResult::kCommitted);
   EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
   EXPECT_EQ(results_.at("b"), SubmitResult::kAccepted);
-  // The first one's time-out changes nothing any more.
+  // The timeout of the first transaction has no further effect.
   AnswerHeld(0, CommitResult::kUnknown);
   SubmitHeld("c");
   EXPECT_THAT(held_.back().workflows, testing::ElementsAre("c"));
 }
 
-// Alone, each of them would take a turn of a slow table.
-TEST_F(JobRepositoryAnswersTest, OthersOfATransactionWithAStoredOneGoTogether) {
+// Sent one by one, each would take a turn in a slow table.
+TEST_F(JobRepositoryAnswersTest, OthersOfAConflictingBatchAreSentTogether) {
   SubmitHeld("a");
   for (const char* id : {"b", "c", "d"}) SubmitHeld(id);
   AnswerHeld(0, CommitResult::kCommitted);
@@ -171,9 +173,8 @@
   EXPECT_THAT(held_[2].workflows, testing::ElementsAre("b", "d"));
 }
 
-// What was sent can't be refused truthfully once the table turns out to answer
-// nobody.
-TEST_F(JobRepositoryAnswersTest, NothingMoreIsSentToATableThatAnswersNothing) {
+// Once sent, a submission can't be refused if the table proves unresponsive.
+TEST_F(JobRepositoryAnswersTest, NothingMoreIsSentWithoutAnyAnswer) {
   answer_reads_ = false;
   SubmitHeld("a");
   Advance(std::chrono::milliseconds(200));
@@ -185,9 +186,10 @@
   EXPECT_EQ(results_.count("a"), 0);
 }
 
-// Each transaction took 0.18 s of the table's time: repeats filled it until it
-// refused the owner's as well.
-TEST_F(JobRepositoryAnswersTest, SlowTableGetsNoTransactionTwice) {
+// Guards against repeats that overload a slow table: with 0.18 s per
+// transaction they filled its queue until it refused the owner's transactions
+// as well.
+TEST_F(JobRepositoryAnswersTest, SlowTableGetsNoRepeatedTransaction) {
   read_latency_ = std::chrono::milliseconds(250);
   SubmitHeld("a");
   Advance(std::chrono::milliseconds(500));
@@ -200,7 +202,7 @@
   EXPECT_THAT(held_, testing::SizeIs(2));
 }
 
-TEST_F(JobRepositoryAnswersTest, WhatALookShowsNeedsNoRepeat) {
+TEST_F(JobRepositoryAnswersTest, SubmissionFoundStoredIsNotRepeated) {
   SubmitHeld("a");
   table_.model().Commit({{}, {{"workflows/a", 0, "stored"}}});
   Advance(std::chrono::milliseconds(250));
@@ -208,18 +210,16 @@
   EXPECT_THAT(held_, testing::SizeIs(1));
 }
 
-TEST_F(JobRepositoryAnswersTest,
-       SubmissionThatWasSentEndsWithinSecondsWhateverIs) {
+TEST_F(JobRepositoryAnswersTest, SentSubmissionEndsWithinTheTimeout) {
   SubmitHeld("a");
   Advance(std::chrono::milliseconds(2300));
   EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
-TEST_F(JobRepositoryAnswersTest,
-       TableThatRefusesIsAskedAgainAfterPausesThatGrow) {
+TEST_F(JobRepositoryAnswersTest, RefusedSubmissionIsRetriedWithBackoff) {
   SubmitHeld("a");
-  Advance(std::chrono::milliseconds(
-      250));  // Repeated once; so it is may_be_stored.
+  // Repeated once, so it may be stored.
+  Advance(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(0, CommitResult::kUnknown);
   AnswerHeld(1, CommitResult::kNotApplied);
@@ -233,8 +233,8 @@
   EXPECT_LE(held_.size(), 7);
 }
 
-// The first may still take effect.
-TEST_F(JobRepositoryAnswersTest, RefusalOfARepeatedTransactionIsNoRefusal) {
+// The first transaction may still take effect.
+TEST_F(JobRepositoryAnswersTest, RefusalOfARepeatDoesNotRefuseTheSubmission) {
   SubmitHeld("a");
   Advance(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
@@ -246,9 +246,10 @@
   EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
-// Found on the large site's incident: the store refused a transaction of ours
-// for its entries. It counts a condition, a row and a marker for each workflow.
-TEST_F(JobRepositoryTest, TransactionsStayBelowTheTablesLimit) {
+// Guards against exceeding the table's limit on entries, for which it refused
+// transactions on the large site. Each workflow counts as a condition, a row
+// and a marker.
+TEST_F(JobRepositoryTest, TransactionsStayBelowTheEntryLimit) {
   constexpr size_t kMaxEntries = 100;
   size_t max_entries = 0;
   Table counting = table_.AsTable();
@@ -270,7 +271,8 @@
   table_.Deliver();
   EXPECT_EQ(accepted, 90);
   EXPECT_LE(max_entries, kMaxEntries);
-  EXPECT_GT(max_entries, kMaxEntries / 2);  // They do share transactions.
+  // Submissions do share transactions.
+  EXPECT_GT(max_entries, kMaxEntries / 2);
 }
 
 struct FaultCase {
@@ -282,8 +284,8 @@
 class JobRepositoryFaultTest : public JobRepositoryTest,
                                public testing::WithParamInterface<FaultCase> {};
 
-// A refusal is said only of what was not and will not be stored.
-TEST_P(JobRepositoryFaultTest, AnswerIsTrueOfTheTable) {
+// Refused means not stored now or later.
+TEST_P(JobRepositoryFaultTest, ResultMatchesTheTable) {
   table_.set_fault(GetParam().fault);
   EXPECT_EQ(Submit("a"), GetParam().submitted);
   table_.set_fault(TableFault::kNone);
@@ -299,7 +301,7 @@
                     FaultCase{TableFault::kLate, SubmitResult::kUnknown,
                               SubmitResult::kAccepted}));
 
-TEST_F(JobRepositoryTest, SubmissionsShareATransactionAndAreToldApart) {
+TEST_F(JobRepositoryTest, BatchedSubmissionsGetSeparateResults) {
   EXPECT_EQ(Submit("b"), SubmitResult::kAccepted);
   std::map<std::string, SubmitResult> results;
   for (const char* id : {"a", "c", "d", "b", "e"}) {
@@ -315,14 +317,14 @@
   }
 }
 
-TEST_F(JobRepositoryTest, CancelIsStoredAndShown) {
+TEST_F(JobRepositoryTest, CancellationIsStoredAndReported) {
   Submit("a");
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(State("a").state, WorkflowState::kCancelled);
 }
 
-TEST_F(JobRepositoryTest, UnknownJobIsToldApartFromAnUnansweringTable) {
+TEST_F(JobRepositoryTest, UnknownJobDiffersFromUnansweredQuery) {
   EXPECT_EQ(Cancel("a"), CancelResult::kNoSuchJob);
   EXPECT_TRUE(State("a").answered);
   EXPECT_FALSE(State("a").state);
--- a/beamhill/scheduler/round_robin_test.cc
+++ b/beamhill/scheduler/round_robin_test.cc
@@ -13,7 +13,7 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
-TEST(RoundRobinTest, GoesRoundInParts) {
+TEST(RoundRobinTest, ReturnsBatchesAndWrapsAround) {
   const std::map<int, char> map = {{1, 'a'}, {2, 'b'}, {5, 'c'}};
   int cursor = 0;
   EXPECT_THAT(NextRoundRobin(map, cursor, 2), ElementsAre(1, 2));
@@ -21,13 +21,13 @@
   EXPECT_THAT(NextRoundRobin(map, cursor, 9), ElementsAre(2, 5, 1));
 }
 
-TEST(RoundRobinTest, EmptyMapGivesNothing) {
+TEST(RoundRobinTest, EmptyMapReturnsNothing) {
   int cursor = 3;
   EXPECT_THAT(NextRoundRobin(std::map<int, char>(), cursor, 2), IsEmpty());
 }
 
-// Keys come and go meanwhile.
-TEST(RoundRobinTest, GoesOnBehindAKeyThatHasGone) {
+// Keys may be added and removed between calls.
+TEST(RoundRobinTest, ContinuesAfterARemovedKey) {
   std::map<int, char> map = {{1, 'a'}, {2, 'b'}, {5, 'c'}};
   int cursor = 0;
   NextRoundRobin(map, cursor, 2);
@@ -35,9 +35,9 @@
   EXPECT_THAT(NextRoundRobin(map, cursor, 1), ElementsAre(5));
 }
 
-// An owner of hundreds of schedulers tells each of all others within some
-// seconds of heartbeats, each of which holds a few.
-TEST(RoundRobinTest, EveryKeyHasItsTurn) {
+// The owner of hundreds of schedulers tells each of them of all others within
+// seconds, a few per heartbeat.
+TEST(RoundRobinTest, ReturnsEveryKeyInOnePass) {
   std::map<int, char> map;
   for (int i = 0; i < 184; ++i) map[i] = 'x';
   std::set<int> seen;
--- a/beamhill/scheduler/scheduler_test.cc
+++ b/beamhill/scheduler/scheduler_test.cc
@@ -1,5 +1,4 @@
-// A Scheduler over a table in memory, among peers that the test plays over
-// loopback.
+// Tests Scheduler with an in-memory table and simulated peers over loopback.
 #include "beamhill/scheduler/scheduler.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +28,8 @@
     deliver_ = loop_->Every(milliseconds(1), [this] { table_.Deliver(); });
   }
 
-  // A peer that answers heartbeats as that one; counts whoever dials it.
+  // Simulates the peer `name`, which answers heartbeats; records who was
+  // dialed.
   std::unique_ptr<LinkListener> Listen(const std::string& name) {
     auto listener =
         LinkListener::Listen(*loop_, {"127.0.0.1", 0}, [this, name](Link&) {
@@ -77,7 +77,8 @@
         *loop_, settings, table_.AsTable(), std::move(hooks), metrics_)));
   }
 
-  // A scheduler that knows so many peers and has lost its owner and the table.
+  // Starts a scheduler that knows `peers` peers and cuts it off from its owner
+  // and the table.
   void IsolateAmong(int peers) {
     for (int i = 0; i < peers; ++i) {
       peers_.push_back(Listen("peer-" + std::to_string(i)));
@@ -118,26 +119,26 @@
   Evacuations evacuations_;
   Duration store_silence_{};
   Duration peers_store_silence_{};
-  std::set<std::string> dialed_;  // Names of those that were dialed.
-  int owner_heartbeats_ = 0;      // Heartbeats.
+  std::set<std::string> dialed_;  // Names of the peers that were dialed.
+  int owner_heartbeats_ = 0;      // Heartbeats answered by the owner.
   std::vector<std::string> peer_addresses_;
   std::vector<std::unique_ptr<LinkListener>> peers_;
   std::unique_ptr<Scheduler> scheduler_;
   Timer deliver_;
 };
 
-// Those that were drawn first may be down, or as alone as itself: while only
-// they were asked, it missed settings and the next owner until the table
-// answered again.
-TEST_F(SchedulerTest, AsksOthersWhileTheTableAnswersNoneThatWereAsked) {
+// Guards against querying only the peers drawn first, which may be down or cut
+// off as well: the scheduler then missed settings and the next owner until the
+// table answered again.
+TEST_F(SchedulerTest, QueriesOtherPeersWhileTheTableAnswersNoneQueried) {
   peers_store_silence_ = seconds(2);
   IsolateAmong(5);
   EXPECT_TRUE(RunUntil(seconds(6), [&] { return dialed_.size() == 5; }))
-      << dialed_.size() << " were asked";
+      << dialed_.size() << " were dialed";
 }
 
-// It tells of each change as it comes.
-TEST_F(SchedulerTest, StaysWithAPeerThatTheTableAnswers) {
+// A peer that the table answers sends each change as it occurs.
+TEST_F(SchedulerTest, StaysWithPeersThatTheTableAnswers) {
   IsolateAmong(5);
   EXPECT_FALSE(RunUntil(seconds(4), [&] { return dialed_.size() > 3; }));
   EXPECT_EQ(dialed_.size(), 3);
--- a/beamhill/scheduler/submit_call_test.cc
+++ b/beamhill/scheduler/submit_call_test.cc
@@ -19,8 +19,9 @@
 constexpr Duration kShortWait = milliseconds(50);
 constexpr Duration kLongWait = milliseconds(2500);
 
-// A slow table takes some transactions a second from all schedulers together.
-TEST(SubmitCallTest, OwnerThatIsThereStoresForAllAndNobodyElseWrites) {
+// A slow table takes a few transactions per second from all schedulers
+// together.
+TEST(SubmitCallTest, ResponsiveOwnerIsTheOnlyRoute) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
   EXPECT_EQ(call.Next(kResponsive, kShortWait), std::nullopt);
@@ -30,7 +31,7 @@
   EXPECT_EQ(call.Next(kNoOwner, kShortWait), std::nullopt);
 }
 
-TEST(SubmitCallTest, OwnerThatFallsSilentIsNotWaitedFor) {
+TEST(SubmitCallTest, StoresLocallyWhenTheOwnerBecomesUnresponsive) {
   for (const OwnerReachability& owner :
        {kNoHeartbeat, kNoTableAnswer, kNoOwner}) {
     SubmitCall call;
@@ -41,14 +42,14 @@
   }
 }
 
-TEST(SubmitCallTest, WithoutAnOwnerItIsStoredHere) {
+TEST(SubmitCallTest, StoresLocallyWithoutAnOwner) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
   call.OnResult(W::kLocal, R::kAccepted);
   EXPECT_EQ(call.outcome(), R::kAccepted);
 }
 
-TEST(SubmitCallTest, OwnerThatComesBackIsAskedAfterATableThatTurnsUsAway) {
+TEST(SubmitCallTest, RecoveredOwnerIsTriedAfterALocalRefusal) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kNoHeartbeat, kShortWait), W::kLocal);
   EXPECT_EQ(call.Next(kResponsive, kShortWait), std::nullopt);
@@ -62,8 +63,8 @@
   R outcome;
 };
 
-// Refused means that it was stored by neither, and never will be.
-TEST(SubmitCallTest, OnlyRefusalsMakeARefusal) {
+// Refused means that neither route stored the submission nor ever will.
+TEST(SubmitCallTest, RefusedOnlyIfEveryAttemptWasRefused) {
   for (const Case& c : {Case{R::kRefused, R::kRefused, R::kRefused},
                         Case{R::kRefused, R::kUnknown, R::kUnknown},
                         Case{R::kUnknown, R::kRefused, R::kUnknown},
@@ -84,9 +85,10 @@
   }
 }
 
-// The table turns the owner away, and this scheduler as well: callers waited
-// until their deadline though there was a new owner after 1.5 s.
-TEST(SubmitCallTest, NextOwnerIsAskedWhereBothWereTurnedAway) {
+// Guards against not asking the next owner after the table has rejected both
+// the previous owner and this scheduler: callers waited until their deadline
+// although a new owner was there after 1.5 s.
+TEST(SubmitCallTest, NextOwnerIsTriedAfterBothRoutesFailed) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
   EXPECT_EQ(call.Next(kNoTableAnswer, milliseconds(900)), W::kLocal);
@@ -97,7 +99,7 @@
   EXPECT_EQ(call.outcome(), R::kAccepted);
 }
 
-TEST(SubmitCallTest, OneThatMayBeStoredWaitsForTheNextOwnerButNotForLong) {
+TEST(SubmitCallTest, UnknownOutcomeWaitsForTheNextOwnerUpToALimit) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
   call.OnOwnerLost();
@@ -109,8 +111,8 @@
   EXPECT_EQ(call.outcome(), R::kUnknown);
 }
 
-// The caller can come again.
-TEST(SubmitCallTest, WhatIsCertainlyNotStoredIsRefusedAtOnce) {
+// The caller can retry.
+TEST(SubmitCallTest, DefiniteRefusalIsReportedAtOnce) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
   call.OnResult(W::kLocal, R::kRefused);
@@ -118,7 +120,7 @@
   EXPECT_EQ(call.outcome(), R::kRefused);
 }
 
-TEST(SubmitCallTest, RefusalHereWaitsForTheOwnersAnswer) {
+TEST(SubmitCallTest, LocalRefusalWaitsForTheOwnersAnswer) {
   SubmitCall call;
   EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
   EXPECT_EQ(call.Next(kNoHeartbeat, kShortWait), W::kLocal);
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -1,4 +1,4 @@
-// What an owner decides while its authority is over, or as it ends, is neither
+// Tests that decisions made without authority, or while it ends, are neither
 // lost nor sent too early.
 #include <gtest/gtest.h>
 
@@ -17,10 +17,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Longer than an owner may act without the table.
+// Exceeds the time that an owner may act without the table.
 constexpr Duration kBeyondAuthorityTerm = seconds(9);
 
-// An executor that shows what it is given and notes what it is told.
+// An executor that reports a given inventory and records the orders it
+// receives.
 class RecordingVm {
  public:
   explicit RecordingVm(EventLoop& loop) {
@@ -38,7 +39,7 @@
     return {rows::kExecutors + record.vm, kAnyVersion, EncodeRecord(record)};
   }
 
-  // What the next inventory shows.
+  // Sets what the next inventory reports.
   void SetInventory(std::vector<RunRef> running,
                     std::vector<RunEnd> ended = {}) {
     running_ = std::move(running);
@@ -133,7 +134,7 @@
     table_.model().Commit(rows);
   }
 
-  // Its authority is over, as after an outage of the table that goes on.
+  // Ends the owner's authority, as a lasting outage of the table does.
   void ExpireAuthority() {
     table_.set_fault(TableFault::kDown);
     clock_ahead_ = kBeyondAuthorityTerm;
@@ -146,7 +147,7 @@
     loop_->Run();
   }
 
-  // The VM holds a run of the only workflow.
+  // Lets the VM hold a run of `workflow`, the only one stored.
   void SetUpHeldRun(const Workflow& workflow) {
     Store({workflow});
     vm_.SetInventory({RunOf(workflow.id)});
@@ -156,7 +157,9 @@
     }));
   }
 
-  // The advisor is asked after the decisions of a round and before they leave.
+  // Ends the authority between the decision on a start and its sending: the
+  // advisor is queried after a tick's decisions and before its messages are
+  // sent.
   void ExpireAuthorityAfterStartDecision() {
     Workflow advised = Job("a", /*is_long_running=*/false);
     advised.policy.needs_advice = true;
@@ -178,7 +181,8 @@
   RecordingVm vm_{*loop_};
 };
 
-TEST_F(WorkOwnerAuthorityTest, WorkThatIsCancelledMeanwhileIsStopped) {
+TEST_F(WorkOwnerAuthorityTest,
+       RunOfAJobCancelledWithoutAuthorityIsStoppedLater) {
   SetUpHeldRun(Job("w", /*is_long_running=*/true));
   ExpireAuthority();
   owner_->OnCancelStored("w");
@@ -187,9 +191,10 @@
   EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(RunOf("w")) > 0; }));
 }
 
-// A VM shows it when it was out of reach at the cancellation.
+// A VM reports such a run if it was unreachable at the time of the
+// cancellation.
 TEST_F(WorkOwnerAuthorityTest,
-       WorkOfACancelledJobThatIsFoundMeanwhileIsStopped) {
+       RunOfACancelledJobFoundWithoutAuthorityIsStoppedLater) {
   Store({Job("w", /*is_long_running=*/true)});
   ASSERT_TRUE(RunUntil([&] { return vm_.started().size() == 1; }));
   owner_->OnCancelStored("w");
@@ -207,9 +212,9 @@
   EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(cancelled_run) > 0; }));
 }
 
-// The answer to the transaction that makes an end durable comes so late that
-// the authority is over.
-TEST_F(WorkOwnerAuthorityTest, EndThatIsStoredMeanwhileIsSettled) {
+// The answer to the transaction that stores an end arrives after the authority
+// has ended.
+TEST_F(WorkOwnerAuthorityTest, EndStoredWithoutAuthorityIsAcknowledgedLater) {
   SetUpHeldRun(Job("w", /*is_long_running=*/false));
   RunFor(milliseconds(300));
   hold_commit_answers_ = true;
@@ -227,9 +232,9 @@
   EXPECT_TRUE(RunUntil([&] { return vm_.acknowledged_through() >= 1; }));
 }
 
-// The authority ends between the decision and the sending of a start, which a
-// large deployment makes milliseconds long.
-TEST_F(WorkOwnerAuthorityTest, StartThatIsDecidedAsItEndsIsCarriedOut) {
+// The authority ends between the decision on a start and its sending, which are
+// milliseconds apart in a large deployment.
+TEST_F(WorkOwnerAuthorityTest, StartDecidedAsAuthorityEndsIsSentLater) {
   ExpireAuthorityAfterStartDecision();
   RunFor(milliseconds(100));
   RestoreTable();
@@ -240,8 +245,8 @@
   }));
 }
 
-// What is kept until the authority is back does not leave before.
-TEST_F(WorkOwnerAuthorityTest, NoStopLeavesWithoutAuthority) {
+// Stops that wait for the authority to return are not sent before.
+TEST_F(WorkOwnerAuthorityTest, NoStopIsSentWithoutAuthority) {
   SetUpHeldRun(Job("w", /*is_long_running=*/true));
   ExpireAuthority();
   owner_->OnCancelStored("w");
@@ -250,7 +255,7 @@
   EXPECT_TRUE(vm_.stopped().empty());
 }
 
-TEST_F(WorkOwnerAuthorityTest, NoStartLeavesOnceTheAuthorityHasEnded) {
+TEST_F(WorkOwnerAuthorityTest, NoStartIsSentAfterAuthorityEnds) {
   ExpireAuthorityAfterStartDecision();
   RunFor(milliseconds(300));
   EXPECT_FALSE(keeper_->MayAct());
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -1,4 +1,5 @@
-// An owner over a table in memory, with executors that answer over loopback.
+// Tests WorkOwner with an in-memory table and simulated executors over
+// loopback.
 #include "beamhill/scheduler/work_owner.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// An executor whose runner holds work that the owner has never heard of.
+// An executor whose runner holds work that is unknown to the owner.
 class VmWithUnknownWork {
  public:
   VmWithUnknownWork(EventLoop& loop, std::string name)
@@ -21,7 +22,7 @@
     auto listener = LinkListener::Listen(loop, {"127.0.0.1", 0},
                                          [this](Link&) { return Hooks(); });
     listener_ = std::move(ValueOf(listener));
-    // Its link stays up by its heartbeats, whatever else is missing.
+    // Heartbeats keep the link up, whatever else is missing.
     beat_ = loop.Every(milliseconds(100), [this] {
       if (link_ == nullptr) return;
       link_->Send(EncodeDispatch(VmHeartbeat{epoch_, BootClock::now()}));
@@ -122,19 +123,20 @@
   Timer ends_;
 };
 
-// The notice of a cancellation may be lost, and the runner of the last order
-// may hang; users allow 3 s until nothing of the workflow is started any more.
-TEST_F(WorkOwnerTest, OrderIsOverInTimeForACancellationThatOnlyTheTableTells) {
+// The notice of a cancellation may be lost, and the runner that received the
+// last start order may hang. Users allow 3 s until nothing of the workflow
+// starts any more.
+TEST_F(WorkOwnerTest, StartOrderExpiresInTimeForACancellationFoundByScan) {
   constexpr Duration kAllowed = seconds(3);
   constexpr Duration kReadAndSend = milliseconds(300);
   EXPECT_LE(WorkOwnerOptions{}.marker_scan_interval + kReadAndSend + kOrderLife,
             kAllowed);
 }
 
-// Found on the large site: after a takeover 25 of 240 VMs were missing for ten
-// seconds. One timer stood for all VMs whose work is not known yet, so that the
-// second one took the first one's next try away.
-TEST_F(WorkOwnerTest, EachVmWithUnknownWorkIsAskedAgain) {
+// Guards against one retry timer shared by all VMs with unknown work: the
+// second VM cancelled the retry of the first, and after a takeover on the large
+// site 25 of 240 VMs were missing for ten seconds.
+TEST_F(WorkOwnerTest, EachVmWithUnknownWorkIsAttachedAgain) {
   VmWithUnknownWork first(*loop_, "vm-1");
   VmWithUnknownWork second(*loop_, "vm-2");
   Transaction rows;
@@ -147,9 +149,9 @@
       [&] { return first.attached() >= 2 && second.attached() >= 2; }));
 }
 
-// Executors of an earlier version have another row, and those that have been
-// upgraded have both; the earlier one may name an address they have left.
-TEST_F(WorkOwnerTest, VmsOfEarlierVersionsAreFoundAndUpgradedOnesWhereTheyAre) {
+// Executors of an earlier version write another row, and upgraded ones have
+// both; the earlier row may hold an address that is no longer theirs.
+TEST_F(WorkOwnerTest, FindsVmsOfEarlierVersionsAndUsesNewRowsOfUpgradedOnes) {
   options_.earlier_vm_scan_interval = milliseconds(50);
   VmWithUnknownWork earlier(*loop_, "vm-1");
   VmWithUnknownWork upgraded(*loop_, "vm-2");
@@ -168,12 +170,13 @@
   EXPECT_EQ(left_address.attached(), 0);
 }
 
-// With thousands of runs something has always just ended: a planned stop of the
-// owner of 800 VMs started nothing for 1.1 s before it gave the work up.
-TEST_F(WorkOwnerTest, StopDoesNotWaitUntilNothingEndsAnyMore) {
+// Guards against a stop that waits until no more runs end, which never happens
+// with thousands of runs: a planned stop of the owner of 800 VMs started
+// nothing for 1.1 s before it released the ownership.
+TEST_F(WorkOwnerTest, QuiesceDoesNotWaitForRunsToStopEnding) {
   constexpr uint32_t kTasks = 3000;
-  constexpr uint32_t kMaxEndedBeforeQuiesce =
-      500;  // Some two transactions, and slack.
+  // The runs of about two transactions, with slack.
+  constexpr uint32_t kMaxEndedBeforeQuiesce = 500;
   Workflow workflow;
   workflow.id = "wide";
   workflow.service = "web";
@@ -196,8 +199,8 @@
 }
 
 // An owner that can't read the operators' table yet must not start anything in
-// a data hall that they may have asked to be emptied.
-TEST_F(WorkOwnerTest, WaitsUntilItIsKnownWhichHallsAreToBeEmptied) {
+// a data hall that may have to be evacuated.
+TEST_F(WorkOwnerTest, LoadsOnlyOnceEvacuationsAreKnown) {
   evacuations_.known = false;
   VmWithUnknownWork vm(*loop_, "vm-1");
   Transaction rows;
--- a/beamhill/scheduler/work_owner_test_base.h
+++ b/beamhill/scheduler/work_owner_test_base.h
@@ -1,4 +1,5 @@
-// An owner over a table in memory, on a loop of its own, for tests.
+// A fixture for tests of WorkOwner with an in-memory table and its own event
+// loop.
 //
 //   TEST_F(WorkOwnerTest, ...) {
 //     table_.model().Commit(rows);
@@ -19,7 +20,7 @@
 
 namespace beamhill {
 
-// How long a test waits for what it expects before it fails.
+// How long a test waits for a condition before it fails.
 inline constexpr Duration kTestTimeout = std::chrono::seconds(5);
 
 class WorkOwnerTest : public testing::Test {
@@ -58,7 +59,7 @@
                          &metrics_.AddCounter("starts", "")});
   }
 
-  // The table, with answers to transactions that can be held back.
+  // Wraps `table` so that answers to transactions can be held back.
   Table WithHeldCommits(Table table) {
     table.commit = [this, commit = table.commit](Transaction transaction,
                                                  CommitDone done) {
@@ -77,7 +78,7 @@
     for (const auto& answer : std::exchange(held_answers_, {})) answer();
   }
 
-  // Runs the loop until the condition holds; false if it never does.
+  // Runs the loop until `condition` holds; returns false on timeout.
   bool RunUntil(const std::function<bool()>& condition) {
     bool held = false;
     const Timer check = loop_->Every(std::chrono::milliseconds(5), [&] {
@@ -93,7 +94,7 @@
   FaultyTable table_;
   Evacuations evacuations_{true, 0, {}};
   WorkOwnerOptions options_;
-  // Of the clock by which the ownership is kept.
+  // Offset of the clock that the ownership keeper uses.
   Duration clock_ahead_{};
   std::function<void()> on_advice_request_;
   bool hold_commit_answers_ = false;
