--- a/beamhill/scheduler/dialed_peer.cc
+++ b/beamhill/scheduler/dialed_peer.cc
@@ -9,7 +9,8 @@
 
 constexpr Duration kMinRedialDelay = std::chrono::milliseconds(100);
 constexpr Duration kMaxRedialDelay = std::chrono::milliseconds(1000);
-// A handshake takes a few round trips; a peer that is cut off takes forever.
+// The handshake takes a few round trips; with an unreachable peer it never
+// completes.
 constexpr Duration kHandshakeTimeout = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -79,7 +80,7 @@
     link_->Close();
     return;
   }
-  // Twice at least before the link is given up.
+  // Pings at least twice before the link is closed.
   const bool quiet = opened_ && now - last_received_at_ > limit / 2;
   if (!quiet || now - last_ping_at_ < limit / 4) return;
   last_ping_at_ = now;
--- a/beamhill/scheduler/dialed_peer.h
+++ b/beamhill/scheduler/dialed_peer.h
@@ -1,5 +1,5 @@
-// A link that is dialed again for as long as its owner wants it, to a peer
-// that may be down, silent or replaced.
+// An outgoing link to one peer that redials until destroyed, since the peer may
+// be down, unresponsive or replaced.
 //
 //   DialedPeer peer(loop, address, {on_open, on_message, on_down});
 //   peer.Send(message);       // dropped while the link is down
@@ -20,7 +20,7 @@
 struct DialedPeerHooks {
   std::function<void()> on_open;
   std::function<void(const DispatchMessage&)> on_message;
-  // The link broke, or could not be made.
+  // The link closed or could not be established.
   std::function<void(bool was_open)> on_down;
 };
 
@@ -31,14 +31,16 @@
   DialedPeer(const DialedPeer&) = delete;
   DialedPeer& operator=(const DialedPeer&) = delete;
 
-  // Does nothing while the link is down.
+  // Sends `message`; drops it while the link is down.
   void Send(const DispatchMessage& message);
-  // Breaks the link if nothing came for so long, not even the answer to a ping;
-  // it is dialed anew. A peer may have nothing to say and still be there: an
-  // executor whose runner has not registered yet.
+  // Closes the link, to be redialed, if nothing has been received for `limit`,
+  // not even the answer to a ping, or if its handshake takes too long. Pings
+  // first: a healthy peer may have nothing to send, such as an executor whose
+  // runner has not registered yet.
   void CloseIfSilent(Duration limit);
   bool is_open() const;
-  // How long ago the last message came, or the link opened.
+  // Time since the last message or since the link last opened, whichever is
+  // shorter.
   Duration SinceMessage() const { return BootClock::now() - last_message_at_; }
 
  private:
@@ -53,7 +55,7 @@
   bool opened_ = false;
   Duration redial_delay_{};
   TimePoint dial_started_at_{};
-  TimePoint last_received_at_{};  // Anything at all, on this link.
+  TimePoint last_received_at_{};  // Any traffic on this link, pongs included.
   TimePoint last_message_at_{};
   TimePoint last_ping_at_{};
   Timer redial_timer_;
--- a/beamhill/scheduler/dialed_peers.cc
+++ b/beamhill/scheduler/dialed_peers.cc
@@ -14,7 +14,7 @@
   hooks.on_message = [this](const DispatchMessage& message) {
     hooks_.on_message(message);
   };
-  hooks.on_down = [](bool) {};  // It is dialed again.
+  hooks.on_down = [](bool) {};  // The peer redials by itself.
   peers_.push_back(
       std::make_unique<DialedPeer>(loop_, address, std::move(hooks)));
 }
--- a/beamhill/scheduler/dialed_peers.h
+++ b/beamhill/scheduler/dialed_peers.h
@@ -1,4 +1,4 @@
-// Links to several peers that are asked or told the same thing.
+// Outgoing links to several peers that receive the same messages.
 //
 //   DialedPeers peers(loop, {on_open, on_message});
 //   peers.Dial(address);
@@ -18,9 +18,9 @@
 namespace beamhill {
 
 struct DialedPeersHooks {
-  // The link to this one is up.
+  // The link to `peer` opened.
   std::function<void(DialedPeer& peer)> on_open;
-  // Any of them sent this.
+  // One of the peers sent a message.
   std::function<void(const DispatchMessage&)> on_message;
 };
 
@@ -30,12 +30,13 @@
   DialedPeers(const DialedPeers&) = delete;
   DialedPeers& operator=(const DialedPeers&) = delete;
 
-  // One more; its link is dialed again for as long as it is among them.
+  // Adds a peer; its link is redialed until Clear.
   void Dial(const Address& address);
   void Send(const DispatchMessage& message);
-  // Breaks each link on which nothing came for so long; it is dialed anew.
+  // Closes each link on which nothing has been received for `limit`; it is
+  // redialed.
   void CloseIfSilent(Duration limit);
-  // Drops all of them. Not from within a hook.
+  // Removes all peers. Must not be called from a hook.
   void Clear() { peers_.clear(); }
   bool empty() const { return peers_.empty(); }
 
--- a/beamhill/scheduler/handover.cc
+++ b/beamhill/scheduler/handover.cc
@@ -9,38 +9,39 @@
 
 constexpr double kOwnerCores = 0.25;
 constexpr double kOwnerLinkMbps = 50;
-// The longest that a weak host leaves a row to others: a stronger one that
-// lives reads the row within this.
+// A running scheduler of higher capacity reads the owner row within this time.
 constexpr Duration kMaxClaimDelay = std::chrono::milliseconds(600);
-// A claim takes some 10 ms from the reading of a free row to its answer. With
-// this much for each scheduler, the first of N equal ones claims after some 8
-// ms and one or two others claim before they read of it.
+// A claim takes about 10 ms from reading a free row to its answer. With a slot
+// of this length per scheduler, the first of N equal schedulers claims after
+// about 8 ms, and one or two others claim before they see its claim.
 constexpr Duration kClaimSlot = std::chrono::milliseconds(8);
-// Few that are known may not be all; for many, the times of those that are left
-// of them would be too far apart.
+// If fewer peers are known, they may not be all. If more are known and only a
+// few of them are left, their delays would be too far apart.
 constexpr size_t kMinSlots = 15;
 constexpr size_t kMaxSlots = 75;
-// Where there may be any number of others, most draw a time near the end of
-// this and few an early one.
+// For an unknown number of schedulers: most draw a delay near this value, a few
+// a short one.
 constexpr Duration kMaxExponentialDelay = std::chrono::milliseconds(120);
 constexpr double kAssumedMaxPeers = 1000;
-// A peer that is served may be the first of all when the store comes back; the
-// owner's own next call is answered within this if the store answers it too.
+// A recovering table may answer some peer first. If it answers the owner as
+// well, the owner's next call is answered within this time.
 constexpr Duration kMinPeerAnsweredFor = std::chrono::milliseconds(250);
-// What a peer said longer ago may no longer hold.
+// An older heartbeat may no longer describe the peer.
 constexpr Duration kMaxHeartbeatAge = std::chrono::milliseconds(800);
-// An owner asks the store at least each 400 ms, so that this is a second
-// call without an answer.
+// The owner calls the table at least every 400 ms, so by then a second call has
+// gone unanswered.
 constexpr Duration kHandOverSilence = std::chrono::milliseconds(1000);
-// A weak owner gives way to a host of this many times its host_capacity, but
-// not before it has got somewhere: each change costs a pause of some 0.3 s.
+// An owner of insufficient capacity hands over to a host of this many times its
+// capacity, but not right after it took over: each handover pauses the work for
+// about 0.3 s.
 constexpr double kMinCapacityRatio = 2;
 constexpr Duration kMinOwnershipTime = std::chrono::seconds(2);
 
-// How many claim at the first one's time must not grow with their number, which
-// is not known: so the density of the times grows exponentially, by which the
-// first of N comes the earlier the more there are. The timers of Nonnenmacher
-// and Biersack, "Scalable feedback for large groups" (1999).
+// Returns a delay for an unknown number of schedulers. The density of the
+// delays grows exponentially, so the first of N comes earlier the larger N is,
+// and the number of schedulers that claim at about the same time does not grow
+// with N. After Nonnenmacher and Biersack, "Scalable feedback for large groups"
+// (1999).
 Duration ExponentialClaimDelay(double chance) {
   const double part = 1 + std::log(1 - chance) / std::log(kAssumedMaxPeers);
   return std::chrono::duration_cast<Duration>(std::max(part, 0.0) *
@@ -72,7 +73,7 @@
                                     Duration max_store_silence) {
   std::optional<size_t> best;
   const auto rank = [&](size_t i) {
-    // More than enough counts for nothing.
+    // Capacity above 1 is no advantage.
     return std::pair(std::min(peers[i].host_capacity, 1.0),
                      -(peers[i].store_silence + peers[i].since_heartbeat));
   };
@@ -88,7 +89,7 @@
 
 bool ShouldHandOver(const OwnerView& owner, const PeerView& peer) {
   if (owner.store_silence >= kHandOverSilence) {
-    // A weak peer is left time for stronger ones to be served as well.
+    // Leaves peers of higher capacity time to be answered as well.
     return owner.peer_answered_for >=
            kMinPeerAnsweredFor + ClaimDelay(peer.host_capacity);
   }
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -1,9 +1,10 @@
-// Whether an owner should give the work to a peer, and to which.
+// Decides whether the owner should hand over the work, and to which peer.
 //
-// Pure. An owner that the store doesn't answer while it answers a peer holds
-// everything up; one on a weak VM falls behind a deployment of many VMs.
+// An owner that the table does not answer, while it answers a peer, blocks all
+// progress; an owner on a small VM falls behind in a deployment of many VMs.
+// The functions are pure.
 //
-//   const auto best = BestSuccessor(peers);
+//   const auto best = BestSuccessor(peers, kMaxStoreSilenceHealthy);
 //   if (best && ShouldHandOver(own, peers[*best])) HandOverTo(*best);
 #ifndef BEAMHILL_SCHEDULER_HANDOVER_H_
 #define BEAMHILL_SCHEDULER_HANDOVER_H_
@@ -16,50 +17,58 @@
 
 namespace beamhill {
 
-// What a VM has for an owner, relative to what an owner of some hundred VMs
-// needs (a quarter of a core and 50 Mbit/s, from plays at 76 VMs): at 1 or
-// above it has enough.
+// Returns the capacity of a VM for acting as owner, relative to what the owner
+// of about a hundred VMs needs: a quarter of a core and 50 Mbit/s, as observed
+// with 76 VMs. The scarcer of the two decides; 1 or more is sufficient.
 double HostCapacity(double cores, double link_mbps);
 
-// How long a host of that host_capacity leaves a free row to stronger ones.
+// Returns how long a scheduler on a host of this capacity leaves a free owner
+// row to hosts of higher capacity; zero if the capacity is sufficient.
 Duration ClaimDelay(double host_capacity);
 
-// How long a scheduler that knows of so many others leaves a free row to them,
-// by its host_capacity and by chance: so that of any number one or two claim it
-// at the same moment. One that knows of none may have just started beside
-// hundreds. `chance` is uniform in [0, 1).
+// Returns how long a scheduler that knows `others` other schedulers waits
+// before it claims a free owner row. Adds a random delay to ClaimDelay so that
+// only one or two claim at the same time, however many there are. A scheduler
+// that knows no others may have started together with hundreds of them.
+// `chance` is uniform in [0, 1).
 Duration RandomizedClaimDelay(double host_capacity, size_t others,
                               double chance);
 
-// A peer, by its last heartbeat.
+// A peer as of its last heartbeat.
 struct PeerView {
   Duration since_heartbeat{};
-  Duration store_silence{};  // Since the store last answered it, then.
+  // As of the heartbeat: time since the table last answered the peer.
+  Duration store_silence{};
   double host_capacity = 1;
 };
 
-// The owner itself.
+// The state of the owner itself.
 struct OwnerView {
   Duration store_silence{};
   Duration owned_for{};
   double host_capacity = 1;
-  // For how long some peer has been served while this owner was not.
+  // How long some peer has had recent answers from the table; see
+  // BestSuccessor.
   Duration peer_answered_for{};
 };
 
-// In calm times the store answers each scheduler's watch this often, and some.
+// Limit for `max_store_silence` while the table is healthy: it then answers
+// each scheduler's watch within this time, with some margin.
 inline constexpr Duration kMaxStoreSilenceHealthy =
     std::chrono::milliseconds(2200);
-// When it may have stopped answering some a moment ago.
+// Limit while the table may have just stopped answering some schedulers.
 inline constexpr Duration kMaxStoreSilenceDegraded =
     std::chrono::milliseconds(700);
 
-// The strongest peer that the store has answered within that time, by what was
-// heard lately; among equals the one that it answered last.
+// Returns the index of the peer with the highest capacity among those with a
+// recent heartbeat that the table answered within `max_store_silence`; nullopt
+// if there is none. Capacities above 1 count as 1; ties go to the peer that the
+// table answered last.
 std::optional<size_t> BestSuccessor(const std::vector<PeerView>& peers,
                                     Duration max_store_silence);
 
-// Whether the owner should give way to that peer, which the store answers.
+// Returns whether the owner should hand over to `peer`, which the table
+// answers.
 bool ShouldHandOver(const OwnerView& owner, const PeerView& peer);
 
 }  // namespace beamhill
--- a/beamhill/scheduler/job_repository.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -6,21 +6,21 @@
 namespace beamhill {
 namespace {
 
-// Transactions of submissions that may be open_transactions at a time. While
-// answers come it is one, since the table takes those of one partition one
-// after another; each whose answer is lost stays open_transactions until its
-// time-out.
+// Maximum number of open submission transactions. While answers arrive there is
+// one, since the table processes the transactions of a partition one after
+// another; one whose answer is lost stays open until its timeout.
 constexpr int kMaxOpenTransactions = 5;
-// After a refusal, doubled with each in a row.
+// Delay after a refusal; doubles with each consecutive one.
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(800);
-// The latest end of a submission that was sent: callers wait for some seconds.
+// Latest end of a submission that was sent; callers wait for a few seconds.
 constexpr Duration kSubmitTimeout = std::chrono::milliseconds(2200);
 // Each workflow takes three of a transaction's 100 entries (the condition that
-// it is new, its row and its marker) and up to some kilobytes of its megabyte.
+// its row does not exist, the row and its marker) and up to a few kilobytes of
+// its megabyte.
 constexpr size_t kMaxBatch = 33;
 
-// Whether the table has looked at the transaction.
+// Whether the table evaluated the transaction.
 bool WasEvaluated(CommitResult result) {
   return result == CommitResult::kCommitted ||
          result == CommitResult::kConflict;
@@ -31,15 +31,15 @@
     case CommitResult::kCommitted:
       return CancelResult::kCancelled;
     case CommitResult::kConflict:
-      // The workflow's row never changes, so it was forgotten meanwhile.
+      // The workflow's row never changes, so it has been deleted meanwhile.
       return CancelResult::kNoSuchJob;
     default:
       return CancelResult::kUnknown;
   }
 }
 
-// The workflow that the row holds; nothing when the read failed, or there is
-// no such row, or it can't be read.
+// Decodes a workflow row; nullopt if the read failed, the row does not exist or
+// it can't be decoded.
 std::optional<Workflow> ParseWorkflowRow(const std::optional<Row>& row) {
   if (!row || row->version == 0) return std::nullopt;
   const Result<Workflow> workflow = DecodeRecord<Workflow>(row->value);
@@ -47,8 +47,7 @@
   return ValueOf(workflow);
 }
 
-// The record that the row holds; nothing when there is none, or it can't be
-// read.
+// Decodes a progress row; nullopt if it does not exist or can't be decoded.
 std::optional<ProgressRecord> ParseProgressRow(const Row& row) {
   if (row.version == 0) return std::nullopt;
   const Result<ProgressRecord> record = DecodeRecord<ProgressRecord>(row.value);
@@ -56,7 +55,7 @@
   return ValueOf(record);
 }
 
-// The state of a stored workflow whose row of progress is this one.
+// Returns the state of a stored workflow with this progress row.
 WorkflowState StateFromRow(const Row& progress, bool cancelled) {
   const std::optional<ProgressRecord> record = ParseProgressRow(progress);
   const WorkflowState state = record ? record->state : WorkflowState::kQueued;
@@ -99,9 +98,9 @@
   return numbers;
 }
 
-void JobRepository::SetTableUnresponsive(bool silent) {
-  table_unresponsive_ = silent;
-  if (!silent) return;
+void JobRepository::SetTableUnresponsive(bool unresponsive) {
+  table_unresponsive_ = unresponsive;
+  if (!unresponsive) return;
   for (const Number number : PendingSubmissions()) {
     if (submissions_.at(number).open_transactions == 0)
       FinishUnanswered(number);
@@ -135,9 +134,9 @@
   return !awaiting_answer_ || timed_out;
 }
 
-// Reads take no turn from writes, so that in a slow table this costs nothing;
-// and nothing new is sent until something is answered, so that it can be
-// refused truthfully if the table answers nobody.
+// Reads do not queue behind writes, so that this adds no load to a slow table.
+// No new transaction is sent until something is answered, so that pending
+// submissions can still be refused if the table proves unresponsive.
 void JobRepository::CheckStored() {
   check_in_flight_ = true;
   const Number number = submissions_.begin()->first;
@@ -209,7 +208,7 @@
     retry_at_ = now_() + retry_delay_;
   }
   if (result != CommitResult::kUnknown) awaiting_answer_ = false;
-  // Without those that another transaction has ended meanwhile.
+  // Excludes submissions that another transaction has ended meanwhile.
   std::vector<Number> left;
   for (const Number number : batch) {
     const auto it = submissions_.find(number);
@@ -227,7 +226,7 @@
 void JobRepository::OnBatchConflict(const std::vector<Number>& batch,
                                     const std::vector<Row>& standing) {
   if (standing.empty()) {
-    // Each by itself tells which.
+    // Sent one by one, their answers show which are stored.
     for (const Number number : batch) Send({number});
     return;
   }
@@ -251,7 +250,7 @@
       Finish(number, SubmitResult::kAlreadyStored);
       return;
     case CommitResult::kNotApplied:
-      // One that an earlier transaction may have stored is tried again.
+      // A submission that an earlier transaction may have stored is sent again.
       if (submission.open_transactions == 0 && !submission.may_be_stored)
         FinishUnanswered(number);
       return;
@@ -339,8 +338,8 @@
           });
 }
 
-// Three reads, one after another: whether it is cancelled, whether it is
-// stored, and how far it is.
+// Reads three rows in sequence: the cancellation, the workflow and its
+// progress.
 void JobRepository::StoredState(const std::string& workflow, StateDone done) {
   ReadRow(rows::kCancels + workflow,
           [this, workflow, done](const std::optional<Row>& cancel) {
--- a/beamhill/scheduler/job_repository.h
+++ b/beamhill/scheduler/job_repository.h
@@ -1,21 +1,22 @@
-// Takes in workflows and cancellations and answers for their state, from the
-// table: any scheduler process can do this, whoever owns the work.
+// Stores workflows and cancellations in the table and reads their state from
+// it. Works in any scheduler process, whichever one owns the work.
 //
-// A workflow is stored before it is accepted. A marker beside it tells the
-// owner of it should the direct notice be lost.
+// A workflow is stored before it is accepted. A marker row stored with it lets
+// the owner find it if the direct notice is lost.
 //
-// Submissions that come while a transaction is open_transactions share the next
-// one, so that a slow table gets fewer of them. One whose answer is overdue is
-// looked for, and repeated where the table answers reads quickly: its rows must
-// not be there yet, so that a second one changes nothing.
+// Submissions that arrive while a transaction is open share the next one, which
+// reduces the load on a slow table. If an answer is overdue, a read checks
+// whether the submission is stored; if it is not and the read was answered
+// quickly, the write is repeated. Repeating is safe because the write requires
+// that the workflow's row does not exist.
 //
-// While the table is known to answer nobody, submissions are refused at once
-// and unsent: one that is sent ends without a clear answer, after which callers
-// can't try again.
+// While the table is known to be unresponsive, submissions are refused without
+// being sent: the outcome of one that is sent would be unknown, and its caller
+// could not retry.
 //
 //   JobRepository repository(table);
 //   repository.Submit(workflow, [](SubmitResult result) { ... });
-//   repository.Tick();                                            // each 50 ms
+//   repository.Tick();  // Every 50 ms.
 #ifndef BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
 #define BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
 
@@ -36,6 +37,7 @@
 
 namespace beamhill {
 
+// Outcome of storing a submission.
 enum class SubmitResult : uint8_t {
   kAccepted,       // Stored by this call.
   kAlreadyStored,  // An earlier call has stored it.
@@ -46,16 +48,16 @@
 enum class CancelResult : uint8_t { kCancelled, kNoSuchJob, kUnknown };
 
 struct StateResult {
-  // False when neither the owner nor the table could be asked.
+  // False if neither the owner nor the table could be queried.
   bool answered = false;
-  // Empty: there is no such workflow.
+  // Empty if there is no such workflow.
   std::optional<WorkflowState> state;
 };
 
 class JobRepository {
  public:
   using StateDone = std::function<void(StateResult)>;
-  // Gets nothing when there is no such workflow, or it can't be read.
+  // Receives nullopt if there is no such workflow or it can't be read.
   using LoadDone = std::function<void(std::optional<Workflow>,
                                       std::optional<ProgressRecord>)>;
 
@@ -63,37 +65,41 @@
       Table table,
       std::function<TimePoint()> now = [] { return BootClock::now(); });
 
-  // Stores the workflow, unless one of its id is stored. A second call for one
-  // that is not answered yet gets the same answer.
+  // Stores the workflow unless one with its id is stored. A second call for an
+  // id whose first call is unanswered gets the same answer.
   void Submit(const Workflow& workflow, std::function<void(SubmitResult)> done);
-  // Looks for what is overdue, and gives up what has not been answered for
+  // Checks overdue submissions and ends those that have been unanswered for too
   // long.
   void Tick();
-  // Whether the table is known to answer nobody. Refuses what waits if so.
-  void SetTableUnresponsive(bool silent);
-  // Stores that the workflow is cancelled, if it is stored.
+  // Sets whether the table is known to be unresponsive. If it is, ends the
+  // submissions that no open transaction contains.
+  void SetTableUnresponsive(bool unresponsive);
+  // Stores a cancellation of the workflow, if the workflow is stored.
   void Cancel(const std::string& workflow,
               std::function<void(CancelResult)> done);
-  // As far as it is stored.
+  // Reads the state of the workflow from the table.
   void StoredState(const std::string& workflow, StateDone done);
-  // The workflow and its record, for an owner that has found its marker.
+  // Reads the workflow and its progress record, for an owner that found its
+  // marker.
   void Load(const std::string& workflow, LoadDone done);
 
  private:
   struct Submission {
     Workflow workflow;
     std::vector<std::function<void(SubmitResult)>> done;
-    int open_transactions =
-        0;  // Transactions that hold it and are not answered.
-    bool may_be_stored = false;  // One may have stored it, or may yet do so.
+    int open_transactions = 0;  // Unanswered transactions that contain it.
+    // Some transaction may have stored it or may yet do so.
+    bool may_be_stored = false;
     std::optional<TimePoint> first_sent_at;
   };
-  using Number = uint64_t;  // Submissions are numbered as they come.
+  using Number = uint64_t;  // Assigned in order of arrival.
 
   Number Add(const Workflow& workflow);
-  // Whether what waits may go: an answer has come since the last transaction,
-  // or none is to be expected any more.
+  // Whether pending submissions may be sent: an answer has arrived since the
+  // last transaction, or none is expected any more.
   bool CanSend() const;
+  // Reads the row of the oldest pending submission to see whether its
+  // transaction took effect.
   void CheckStored();
   void OnStoredCheck(Number number, TimePoint sent_at,
                      const std::optional<Row>& row);
@@ -101,21 +107,23 @@
   void Send(const std::vector<Number>& batch);
   void OnBatchAnswer(const std::vector<Number>& batch, TimePoint sent_at,
                      const CommitAnswer& answer);
-  // One of several is there already: ends those that are, by the answer. The
-  // others go again, together.
+  // Handles a conflict of a batch of several submissions: ends those that are
+  // stored, by `standing`. The others are sent again together, or one by one
+  // if `standing` is empty.
   void OnBatchConflict(const std::vector<Number>& batch,
                        const std::vector<Row>& standing);
   void OnSubmissionAnswer(Number number, CommitResult result);
   void Finish(Number number, SubmitResult result);
-  // Ends one that no open_transactions transaction holds, by what is known of
-  // it.
+  // Ends a submission that no open transaction contains: as unknown if it may
+  // be stored, otherwise as refused.
   void FinishUnanswered(Number number);
   std::vector<Number> PendingSubmissions() const;
 
-  // The row, with version 0 when there is none; nothing when the read failed.
+  // Reads one row, with version 0 if it does not exist; passes nullopt if the
+  // read failed.
   void ReadRow(const std::string& key,
                std::function<void(std::optional<Row>)> done);
-  // `version` is that of the workflow's row.
+  // `version` is the expected version of the workflow's row.
   void StoreCancel(const std::string& workflow, uint64_t version,
                    std::function<void(CancelResult)> done);
   void LoadRecord(const std::string& id, Workflow workflow, LoadDone done);
@@ -130,11 +138,10 @@
   Number last_number_ = 0;
   AnswerTimes answer_times_;
   int open_transactions_ = 0;
-  bool awaiting_answer_ =
-      false;  // Nothing has come since the last transaction.
+  bool awaiting_answer_ = false;  // Since the last transaction.
   bool check_in_flight_ = false;
   TimePoint last_sent_{};
-  // After refusals: a pause that grows, and its end.
+  // Backoff after refusals, and its end.
   Duration retry_delay_{};
   TimePoint retry_at_{};
   bool table_unresponsive_ = false;
--- a/beamhill/scheduler/pending_calls.h
+++ b/beamhill/scheduler/pending_calls.h
@@ -1,4 +1,4 @@
-// Calls to another process that wait for their answers, by number.
+// Tracks calls to another process that await their answers, keyed by call id.
 //
 //   PendingCalls<Answer> calls(loop);
 //   calls.Add(7, timeout, [](std::optional<Answer> answer) { ... });
@@ -19,12 +19,13 @@
 template <typename T>
 class PendingCalls {
  public:
-  // Gets nothing when no answer came in time.
+  // Receives nullopt if no answer arrived before the timeout.
   using Callback = std::function<void(std::optional<T>)>;
 
   explicit PendingCalls(EventLoop& loop) : loop_(loop) {}
 
-  // `done` runs once: at the answer, or after the timeout.
+  // Registers a call. `done` runs once: with the answer or, after `timeout`,
+  // with nullopt.
   void Add(uint64_t id, Duration timeout, Callback done) {
     Call& call = calls_[id];
     call.done = std::move(done);
@@ -32,7 +33,8 @@
         loop_.After(timeout, [this, id] { Finish(id, std::nullopt); });
   }
 
-  // Does nothing for a call that isn't open: its answer came too late.
+  // Completes the call with `answer`. Ignores calls that are not pending, such
+  // as those whose answer arrives after the timeout.
   void Finish(uint64_t id, std::optional<T> answer) {
     const auto it = calls_.find(id);
     if (it == calls_.end()) return;
--- a/beamhill/scheduler/round_robin.h
+++ b/beamhill/scheduler/round_robin.h
@@ -1,4 +1,4 @@
-// Passes on a large set in small parts, one after another.
+// Iterates over a large map in batches, resuming after the last key returned.
 //
 //   for (const auto& key : NextRoundRobin(peers, cursor, 8)) { ... }
 #ifndef BEAMHILL_SCHEDULER_ROUND_ROBIN_H_
@@ -10,8 +10,9 @@
 
 namespace beamhill {
 
-// At max_count `max_count` of the map's keys, each once: those behind `cursor`,
-// then from the first one on. Moves the cursor to the last of them.
+// Returns up to `max_count` distinct keys of `map`, starting after `cursor` and
+// wrapping around to the first key. Sets `cursor` to the last key returned, if
+// any.
 template <typename Map>
 std::vector<typename Map::key_type> NextRoundRobin(
     const Map& map, typename Map::key_type& cursor, size_t max_count) {
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -11,17 +11,18 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(300);
-// An owner's link that is silent for so long is dialed anew.
+// The owner's link is redialed after this long without traffic.
 constexpr Duration kOwnerLinkTimeout = std::chrono::milliseconds(2500);
-// The table is asked for a sign of life when it has given none for so long.
+// The table is probed after this long without an answer.
 constexpr Duration kProbeAfter = std::chrono::milliseconds(400);
-// It counts as out of reach after so long: longer than a call's timeout.
+// The table counts as unreachable after this long; exceeds the timeout of a
+// call.
 constexpr Duration kLocalTableSilence = std::chrono::milliseconds(1800);
-// An owner has a transaction or a probe answered each 0.4 s, and says so each
-// 0.3 s: when it has been without for so long, and this process as well, the
-// table answers nobody.
+// The owner gets an answer to a transaction or probe every 0.4 s and reports it
+// every 0.3 s. If neither the owner nor this process has had one for this long,
+// the table answers nobody.
 constexpr Duration kGlobalTableSilence = std::chrono::milliseconds(900);
-// Added to inherited bounds for messages on their way.
+// Added to inherited bounds for messages in transit.
 constexpr Duration kMessageDelayMargin = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -48,29 +49,31 @@
       owner_queries_(loop),
       relays_(loop),
       queried_peers_(loop, QueryHooks()) {
-  owner_metrics_.commit = &metrics.AddLatency(
-      "beamhill_commit_latency", "From sending a transaction to its answer.");
+  owner_metrics_.commit =
+      &metrics.AddLatency("beamhill_commit_latency",
+                          "Time from sending a transaction to its answer.");
   owner_metrics_.starts =
-      &metrics.AddCounter("beamhill_starts_total", "Tasks ordered to start.");
+      &metrics.AddCounter("beamhill_starts_total", "Ordered task starts.");
   metrics.AddGauge(
       "beamhill_oldest_orphan_seconds",
-      "Since when a workflow is over whose runs VMs still hold.", [this] {
+      "Time since the oldest workflow ended of which VMs still hold runs.",
+      [this] {
         return owner_ ? ToMillis(owner_->OldestOrphan()) / 1000 : 0.0;
       });
   metrics.AddGauge(
       "beamhill_oldest_stop_seconds",
-      "Since when a decided stop is not known to be carried out.",
+      "Age of the oldest stop that is not known to be carried out.",
       [this] { return owner_ ? ToMillis(owner_->OldestStop()) / 1000 : 0.0; });
   metrics.AddGauge("beamhill_owner", "1 while this process owns the work.",
                    [this] { return owns() ? 1.0 : 0.0; });
   metrics.AddGauge(
-      "beamhill_workflows", "Workflows that the owner knows.", [this] {
+      "beamhill_workflows", "Workflows known to the owner.", [this] {
         return owner_ && owner_->loaded()
                    ? static_cast<double>(owner_->dispatcher()->workflows())
                    : 0.0;
       });
   metrics.AddGauge(
-      "beamhill_evacuated_halls", "Data halls that are to be emptied.", [this] {
+      "beamhill_evacuated_halls", "Data halls to be evacuated.", [this] {
         return static_cast<double>(hooks_.evacuations().halls.size());
       });
   CreateKeeper();
@@ -129,7 +132,7 @@
   owner_ = std::make_unique<WorkOwner>(loop_, table_, *keeper_, options,
                                        hooks_.advisor, hooks_.evacuations,
                                        owner_metrics_);
-  // Stored workflows are found by loading.
+  // Loading finds the stored workflows.
   notices_.clear();
   if (!followed_owner_.address.empty())
     known_peers_.insert(followed_owner_.address);
@@ -175,7 +178,7 @@
   std::vector<PeerView> views;
   std::vector<const Peer*> candidates;
   for (const auto& [link, peer] : peers_) {
-    if (peer.last.name.empty()) continue;  // It has not said anything yet.
+    if (peer.last.name.empty()) continue;  // No heartbeat received yet.
     views.push_back(ViewOf(peer));
     candidates.push_back(&peer);
   }
@@ -206,7 +209,7 @@
   }
   if (!peer_answered_since_) {
     peer_answered_since_ = now;
-    // The store may be back for all; an earlier probe may be lost.
+    // The table may be back for all schedulers; an earlier probe may be lost.
     probed_at_ = TimePoint{};
     ProbeTable();
   }
@@ -226,8 +229,8 @@
   return hooks_.store_silence() < kLocalTableSilence;
 }
 
-// A call to a silent table may never be answered, also once it is back: so the
-// next probe doesn't wait for the last one.
+// A call to an unresponsive table may never be answered, even after the table
+// recovers, so the next probe does not wait for the last one.
 void Scheduler::ProbeTable() {
   const TimePoint now = BootClock::now();
   if (now - probed_at_ < kProbeAfter) return;
@@ -250,9 +253,9 @@
   retired_announcements_.reset();
   const TimePoint now = BootClock::now();
   keeper_->Tick();
-  const bool silent = IsTableUnresponsive();
-  if (keeper_->owns() || silent) ProbeTable();
-  repository_.SetTableUnresponsive(silent);
+  const bool unresponsive = IsTableUnresponsive();
+  if (keeper_->owns() || unresponsive) ProbeTable();
+  repository_.SetTableUnresponsive(unresponsive);
   repository_.Tick();
   AdvanceSubmissions(/*owner_lost=*/false);
   MaybeHandOver();
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -1,8 +1,8 @@
-// One scheduler process: takes in workflows for anyone who calls it, and when
-// it owns the deployment's work, runs it.
+// A scheduler process: accepts workflows from any caller and, while it owns the
+// deployment's work, runs it.
 //
-// It knows nothing of the wire that callers use: an adaptor decodes requests
-// and calls Submit, Cancel, StateOf and WaitingIn.
+// Independent of the callers' protocol: an adaptor decodes requests and calls
+// Submit, Cancel, StateOf and WaitingIn.
 //
 //   auto scheduler = Scheduler::Start(loop, settings, table, hooks, metrics);
 //   ValueOf(scheduler)->Submit(workflow, done);
@@ -38,27 +38,28 @@
 
 struct SchedulerSettings {
   std::string name;
-  Address peers;  // Where other schedulers dial this one.
-  // How long a VM's work may go on after its last heartbeat was answered.
+  Address peers;  // Listens here for links from other schedulers.
+  // How long runs on a VM may continue after its last answered heartbeat.
   Duration lease_term = std::chrono::seconds(5);
-  // How long an owner may act without a transaction that took effect.
+  // How long an owner may act after its last transaction that took effect.
   Duration authority_term = std::chrono::seconds(8);
-  // Of this VM, see HostCapacity.
+  // Capacity of this VM; see HostCapacity.
   double host_capacity = 1;
-  // How long it leaves a free row to others; by its strength when not given.
+  // How long to leave a free owner row to others; derived from `host_capacity`
+  // if absent.
   std::optional<Duration> claim_delay;
 };
 
 struct SchedulerHooks {
-  // How long ago the table last answered any call of this process.
+  // Time since the table last answered any call of this process.
   std::function<Duration()> store_silence;
-  // The newest service settings: version and document, and a peer's copy.
+  // The newest known service settings, and a callback for a peer's copy.
   std::function<uint64_t()> settings_version;
   std::function<std::string()> settings_document;
   std::function<void(uint64_t version, const std::string& document)>
       on_settings_copy;
   AdvisorHook advisor;
-  // The data halls to be emptied, the newest that is known here, and a peer's
+  // The newest known set of data halls to evacuate, and a callback for a peer's
   // copy.
   EvacuationsHook evacuations;
   std::function<void(const Evacuations&)> on_evacuations_copy;
@@ -66,7 +67,7 @@
 
 class Scheduler {
  public:
-  // Fails when it can't listen for peers.
+  // Starts a scheduler. Fails if it can't listen for peers.
   static Result<std::unique_ptr<Scheduler>> Start(
       EventLoop& loop, const SchedulerSettings& settings, Table table,
       SchedulerHooks hooks, Metrics& metrics);
@@ -74,41 +75,44 @@
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  // Stores the workflow, here or through the owner; `done` runs once.
+  // Stores the workflow, directly or through the owner; `done` runs once.
   void Submit(Workflow workflow, std::function<void(SubmitResult)> done);
-  // Stores a cancellation, here or through the owner; `done` runs once.
+  // Stores a cancellation, directly or through the owner; `done` runs once.
   void Cancel(const std::string& workflow,
               std::function<void(CancelResult)> done);
-  // As the owner knows it, or else as far as it is stored.
+  // Reports the state as the owner knows it or, failing that, as stored.
   void StateOf(const std::string& workflow,
                std::function<void(StateResult)> done);
-  // Workflows of the queue of which nothing has begun; nothing when the owner
-  // can't be asked.
+  // Counts the queue's workflows of which nothing has begun; passes nullopt if
+  // the owner can't be queried.
   void WaitingIn(const std::string& queue,
                  std::function<void(std::optional<uint64_t>)> done);
 
-  // Gives up what it owns; `done` runs when peers can take over.
+  // Releases the ownership, if held; `done` runs when peers can take over.
   void Leave(std::function<void()> done);
 
   bool owns() const { return keeper_->owns(); }
-  // What it knows, in lines for operators.
+  // Describes the state in lines of text for operators.
   std::string Dump() const;
 
  private:
+  // A scheduler that has dialed this process.
   struct Peer {
     Link* link = nullptr;
     SchedulerHeartbeat last;
     TimePoint heartbeat_at{};
-    // The last of its peers that this owner has told it of.
+    // The last of the owner's peers whose address was sent to this one.
     Link* last_peer_sent = nullptr;
   };
+  // A submission whose caller has not been answered.
   struct OpenSubmission {
     SubmitCall call;
     TimePoint since{};
-    uint64_t relay = 0;  // The last one to an owner.
+    uint64_t relay = 0;  // Id of the last relayed call.
     Workflow workflow;
     std::function<void(SubmitResult)> done;
   };
+  // A message about a stored workflow or cancellation, for the owner.
   struct Notice {
     DispatchMessage message;
     TimePoint since{};
@@ -118,31 +122,33 @@
             SchedulerHooks hooks, Metrics& metrics);
   Status Listen();
   void CreateKeeper();
-  // This process owns the work now. `released`: the owner before gave it up;
-  // `first`: there was none.
+  // This process took ownership. `released`: the previous owner gave it up;
+  // `first`: there was no previous owner.
   void OnOwnershipTaken(uint64_t epoch, bool released, bool first);
   // Dials the new owner.
   void Follow(const OwnerRecord& owner);
-  // The best peer to give the work to, by what it said lately; or null.
+  // Returns the best peer to hand over to, by recent heartbeats, or null.
   const Peer* FindSuccessor(Duration max_store_silence) const;
   static PeerView ViewOf(const Peer& peer);
-  // Tells such a peer that this process has stopped acting under the epoch.
+  // Tells the best successor that this process has stopped acting under
+  // `epoch`.
   void OfferHandOver(uint64_t epoch, Duration max_store_silence);
   void MaybeHandOver();
-  // Asks the table for a sign of life when it has given none for a while.
+  // Sends the table a read if it has not answered recently.
   void ProbeTable();
   // Whether the table answers neither this process nor the owner.
   bool IsTableUnresponsive() const;
   bool TableResponds() const;
   void Tick();
 
-  // In scheduler_peers.cc.
+  // Defined in scheduler_peers.cc.
   SchedulerHeartbeat Heartbeat() const;
-  // The answer to that peer's; an owner tells it of some others.
+  // Returns the answer to a heartbeat of `peer`; the owner's contains addresses
+  // of some other peers.
   SchedulerHeartbeat HeartbeatFor(Peer& peer);
-  // Of the schedulers that this process knows of, without itself.
+  // Addresses of all known schedulers except this one.
   std::vector<Address> KnownAddresses() const;
-  // Sends the service settings to a peer whose version is older.
+  // Sends the service settings if the peer's version is older.
   void SendSettingsIfNewer(
       uint64_t peer_version,
       const std::function<void(const DispatchMessage&)>& send);
@@ -150,38 +156,40 @@
   LinkHooks OnAccept(Link& link);
   void OnPeerFrame(Link& link, std::string_view frame);
   void OnPeerMessage(Peer& peer, const DispatchMessage& message);
-  // Tells every scheduler that this process knows of that it owns the work.
-  // The row says the same, but not to those that the table turns away.
+  // Announces this process as owner to all known schedulers, for those that the
+  // table does not let read the owner row.
   void Announce();
-  // Sends a notice on each link to an owner until one confirms it under the
-  // key: the workflow's id for a new workflow, its CancelKey for a
-  // cancellation. One that an owner could not take yet is found by its marker
-  // in the table.
+  // Sends a notice on each new link to an owner until an owner confirms it
+  // under `key`: the id of a new workflow, or the CancelKey of a cancellation.
+  // A notice that the owner could not process yet is covered by its marker in
+  // the table.
   void Notify(const DispatchMessage& message, const std::string& key);
   void SendNotices();
   void ExpireNotices(TimePoint now);
-  // While neither the table nor an owner is heard, asks other schedulers for
-  // newer service settings and for the owner: some at a time, and others while
-  // the table answers none of these either.
+  // Queries other schedulers for newer service settings and for the owner while
+  // this process hears neither the table nor an owner: a few at a time, then
+  // others if the table answers none of these either.
   void QueryPeers(TimePoint now);
   DialedPeersHooks QueryHooks();
   void OnQueryAnswer(const DispatchMessage& message);
   static std::string CancelKey(const std::string& workflow);
 
-  // In scheduler_calls.cc.
+  // Defined in scheduler_calls.cc.
   void AnswerQuestion(Link& link, const Question& question);
-  // Asks the owner; `done` gets nothing when there is no answer.
+  // Queries the owner; passes nullopt if there is no answer.
   void QueryOwner(Question question,
                   std::function<void(std::optional<Answer>)> done);
   bool CanRelay() const;
   OwnerReachability CheckOwnerReachability() const;
-  // Tries what is to be tried next, or answers the caller.
+  // Tries the next route, or answers the caller.
   void AdvanceSubmission(uint64_t number);
-  // All of them. `owner_lost`: the link to the owner that was asked is gone.
+  // Advances all submissions. `owner_lost`: the owner that was tried can no
+  // longer answer.
   void AdvanceSubmissions(bool owner_lost);
   void StartAttempt(uint64_t number, SubmitRoute route);
   void OnSubmitResult(uint64_t number, SubmitRoute route, SubmitResult result);
-  // Sends the call to the owner; `done` gets the number of its result.
+  // Sends the call to the owner; `done` receives the numeric value of its
+  // result, or nullopt if there is no answer.
   void Relay(uint64_t id, const DispatchMessage& call, Duration timeout,
              std::function<void(std::optional<uint8_t>)> done);
   void HandleRelay(Link* link, const RelayedSubmit& call);
@@ -207,29 +215,32 @@
   std::map<Link*, Peer> peers_;
   std::unique_ptr<DialedPeer> owner_peer_;
   OwnerRecord followed_owner_;
-  // Notices that no owner has confirmed yet, by a key for each.
+  // Notices that no owner has confirmed yet, by key.
   std::map<std::string, Notice> notices_;
   std::map<uint64_t, OpenSubmission> submissions_;
   PendingCalls<Answer> owner_queries_;
-  PendingCalls<uint8_t> relays_;  // Answered by the number of the result.
-  // Numbers questions, submissions and relayed calls.
+  PendingCalls<uint8_t> relays_;  // Answered with numeric result values.
+  // Id of the next query, submission or relayed call.
   uint64_t next_call_id_ = 1;
   bool owner_table_responds_ = false;
-  // When the table last answered the owner, by the owner's word.
+  // When the table last answered the owner, as the owner reported.
   TimePoint owner_table_answer_at_{};
   TimePoint owner_heartbeat_at_{};
-  TimePoint owned_since_{};  // When this process took the ownership.
-  // While it owns the work: since when a peer is served by the table.
+  TimePoint owned_since_{};  // When this process took ownership.
+  // While owning: since when the table has answered some peer.
   std::optional<TimePoint> peer_answered_since_;
   TimePoint probed_at_{};
-  DialedPeers queried_peers_;  // While neither the table nor an owner is heard.
-  std::vector<Address> unqueried_peers_;  // The next of them.
-  // When they were dialed, or one that the table answers has answered.
+  DialedPeers queried_peers_;             // Current batch; see QueryPeers.
+  std::vector<Address> unqueried_peers_;  // For later batches.
+  // When the current batch was dialed, or when a peer that the table answers
+  // last replied.
   TimePoint query_progress_at_{};
-  // Addresses of schedulers, as the owner told them.
+  // Addresses of schedulers, as the owner sent them.
   std::set<std::string> known_peers_;
-  // Links on which this process makes its ownership known.
+  // Links on which this process announces its ownership.
   std::unique_ptr<DialedPeers> announcements_;
+  // Retired objects are destroyed on the next tick: a link must not be
+  // destroyed inside its hooks.
   std::unique_ptr<DialedPeers> retired_announcements_;
   Timer announcement_timer_;
   TimePoint last_heartbeat_{};
--- a/beamhill/scheduler/scheduler_calls.cc
+++ b/beamhill/scheduler/scheduler_calls.cc
@@ -1,5 +1,5 @@
-// The part of Scheduler that takes calls: it stores them here or through the
-// owner, and answers from what the owner knows or the table holds.
+// Scheduler's handling of calls: stores them directly or through the owner, and
+// answers queries from the owner's state or the table.
 #include <string>
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration kCancelRelayTimeout = std::chrono::milliseconds(700);
-// Above the time after which the owner's repository gives a submission up.
+// Exceeds the time after which the owner's repository ends a submission.
 constexpr Duration kSubmitRelayTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kQuestionTimeout = std::chrono::milliseconds(400);
 
@@ -55,8 +55,8 @@
   repository_.Submit(workflow, [this, workflow, done](SubmitResult result) {
     if (result == SubmitResult::kAccepted) NotifyOwner(workflow);
     if (result == SubmitResult::kAlreadyStored) {
-      // Perhaps by a transaction of ours without an answer: the owner reads
-      // under whom it was stored.
+      // Possibly by a transaction of this process whose answer was lost: the
+      // owner reads the epoch under which it was stored.
       Workflow stored = workflow;
       stored.offered_to = 0;
       NotifyOwner(stored);
@@ -106,7 +106,7 @@
   const Duration waited = BootClock::now() - it->second.since;
   if (const auto route = it->second.call.Next(CheckOwnerReachability(), waited);
       route) {
-    // It may end in here.
+    // May erase the submission.
     StartAttempt(number, *route);
     AdvanceSubmission(number);
     return;
@@ -140,7 +140,7 @@
   Relay(id, RelayedSubmit{id, workflow}, kSubmitRelayTimeout,
         [this, number, id](std::optional<uint8_t> result) {
           const auto it = submissions_.find(number);
-          // An earlier owner's says nothing of a later one.
+          // A result of an earlier owner does not apply to a later one.
           if (it == submissions_.end() || it->second.relay != id) return;
           OnSubmitResult(number, SubmitRoute::kOwner,
                          result ? static_cast<SubmitResult>(*result)
@@ -151,13 +151,13 @@
 void Scheduler::OnSubmitResult(uint64_t number, SubmitRoute route,
                                SubmitResult result) {
   const auto it = submissions_.find(number);
-  if (it == submissions_.end()) return;  // The other route was sooner.
+  if (it == submissions_.end()) return;  // The other route ended it.
   it->second.call.OnResult(route, result);
   AdvanceSubmission(number);
 }
 
-// Either route of storing a cancellation may be tried after the other whatever
-// became of it: both change nothing the second time.
+// Both routes may be tried one after the other, whatever the first result: a
+// repeated cancellation has no further effect.
 void Scheduler::Cancel(const std::string& workflow,
                        std::function<void(CancelResult)> done) {
   const auto relay = [this, workflow, done] {
@@ -203,7 +203,7 @@
 }
 
 void Scheduler::SendRelayResult(Link* link, uint64_t id, uint8_t result) {
-  if (peers_.count(link) == 0) return;  // It has gone meanwhile.
+  if (peers_.count(link) == 0) return;  // The peer has disconnected meanwhile.
   link->Send(EncodeDispatch(RelayedResult{id, result}));
 }
 
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -1,5 +1,5 @@
-// The part of Scheduler that talks with its peers: heartbeats, notices of what
-// was stored, announcements of a new owner.
+// Scheduler's communication with its peers: heartbeats, notices of stored
+// workflows and cancellations, and announcements of a new owner.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -12,22 +12,23 @@
 namespace beamhill {
 namespace {
 
-// How long a new owner keeps trying to reach those that may not have heard.
+// How long a new owner dials schedulers that may not know of it yet.
 constexpr Duration kAnnouncementDuration = std::chrono::seconds(8);
-// A notice that no owner has confirmed for so long is left to the markers in
-// the table. Far below the time that finished workflows are kept, so that a
-// late notice can't bring one back.
+// An unconfirmed notice is dropped after this long; the marker in the table
+// remains. Far below the retention of finished workflows, so that a late notice
+// can't bring one back.
 constexpr Duration kNoticeLifetime = std::chrono::seconds(30);
-// An owner that the table has not answered for so long may be cut off from it.
+// An owner without table answers for this long may be cut off from the table.
 constexpr Duration kMaxOwnerTableSilence = std::chrono::milliseconds(550);
-// Without an answer of the table and without a word of an owner for so long,
-// other schedulers are asked, so many at a time.
+// A scheduler that has heard neither the table nor an owner for this long
+// queries this many other schedulers at a time.
 constexpr Duration kIsolatedAfter = std::chrono::milliseconds(900);
 constexpr size_t kPeersPerQuery = 3;
-// When none of them has been served by the table for so long, the next are.
+// The next batch is queried if the table has answered none of this one for so
+// long.
 constexpr Duration kQueryTimeout = std::chrono::milliseconds(1500);
-// Addresses of others in an owner's heartbeat: of 184 schedulers each is told
-// within 7 s.
+// Peer addresses per heartbeat of the owner: of 184 schedulers, each learns of
+// all others within 7 s.
 constexpr size_t kPeersPerHeartbeat = 8;
 
 }  // namespace
@@ -50,7 +51,8 @@
   return heartbeat;
 }
 
-// Of all peers to all peers would be bytes that grow with their square.
+// Contains only some of the peers: sending all peers to all peers would take a
+// number of bytes that grows quadratically.
 SchedulerHeartbeat Scheduler::HeartbeatFor(Peer& peer) {
   SchedulerHeartbeat heartbeat = Heartbeat();
   if (!keeper_->owns()) return heartbeat;
@@ -79,7 +81,7 @@
     owner_table_responds_ = heartbeat->store_silence < kMaxOwnerTableSilence;
     owner_table_answer_at_ = owner_heartbeat_at_ - heartbeat->store_silence;
     known_peers_.insert(heartbeat->peers.begin(), heartbeat->peers.end());
-    // The answer, if there is one, makes this process a successor.
+    // If the table answers, this process can succeed the owner.
     if (heartbeat->store_silence >= kMaxOwnerTableSilence) ProbeTable();
     if (heartbeat->incarnation != followed_owner_.incarnation) {
       keeper_->OnOwnerGone(followed_owner_.incarnation);
@@ -139,7 +141,7 @@
   } else if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
     hooks_.on_settings_copy(copy->version, copy->document);
   } else if (const auto* stored = std::get_if<WorkflowStored>(&message)) {
-    if (!owner_ || !owner_->loaded()) return;  // Its marker is found.
+    if (!owner_ || !owner_->loaded()) return;  // Its marker will be found.
     owner_->OnWorkflowStored(stored->workflow);
     send(NoticeTaken{stored->workflow.id});
   } else if (const auto* cancel = std::get_if<CancelStored>(&message)) {
--- a/beamhill/scheduler/submit_call.cc
+++ b/beamhill/scheduler/submit_call.cc
@@ -3,9 +3,10 @@
 namespace beamhill {
 namespace {
 
-// An owner answers heartbeats each 0.3 s; one that has missed one may be lost.
+// An owner answers heartbeats every 0.3 s; without the last answer it may be
+// lost.
 constexpr Duration kMaxHeartbeatAge = std::chrono::milliseconds(450);
-// It has had no answer of the table for so long that it may be cut off.
+// An owner without table answers for this long may be cut off from the table.
 constexpr Duration kMaxTableSilence = std::chrono::milliseconds(900);
 
 constexpr Duration kLocalTimeout = std::chrono::milliseconds(300);
@@ -27,7 +28,7 @@
                                             Duration waited) {
   if (outcome_) return std::nullopt;
   const bool owner_responsive = IsOwnerResponsive(owner);
-  // A table that has not answered here by then may turn this scheduler away.
+  // Without an answer by then, the table may be rejecting this scheduler.
   const bool local_failed = local_.result || waited >= kLocalTimeout;
   if (!owner_.tried && owner_responsive && (!local_.tried || local_failed)) {
     owner_.tried = true;
@@ -53,8 +54,8 @@
   owner_ = Attempt();
 }
 
-// One that may be stored can't be tried again by its caller: so the next owner
-// is waited for, as long as callers wait.
+// The caller can't retry a submission that may be stored, so the call waits for
+// the next owner for as long as callers wait.
 void SubmitCall::DecideOutcome(Duration waited) {
   if (owner_.open() || local_.open()) return;
   if (may_be_stored_ && !owner_.tried && waited < kMaxWait) return;
--- a/beamhill/scheduler/submit_call.h
+++ b/beamhill/scheduler/submit_call.h
@@ -1,15 +1,15 @@
-// One caller's submission on its route into the table: through the owner, or by
-// this scheduler itself.
+// Chooses the route by which one submission reaches the table: through the
+// owner, or stored directly by this scheduler (local).
 //
-// Loads that it answers. Hundreds of schedulers that each write by themselves
-// queue behind one another in a slow table, where the owner stores what came
-// meanwhile in one transaction. A table that turns this scheduler away
-// owner_responsive the owner; an owner that is lost leaves the table; and one
-// that both have turned away may be stored by the next owner. Each route may be
-// tried after the other, whatever became of it: storing a submission a second
-// time changes nothing.
+// A responsive owner comes first: hundreds of schedulers that each write
+// directly queue behind one another in a slow table, whereas the owner stores
+// concurrent submissions in one transaction. If the table rejects this
+// scheduler, it may accept the owner; if the owner is lost, this scheduler can
+// write; if both are rejected, the next owner may succeed. Each route may be
+// tried after the other whatever the result, since storing a submission twice
+// has no further effect.
 //
-// Pure.
+// The class is pure: its user performs the attempts.
 //
 //   SubmitCall call;
 //   while (const auto route = call.Next(owner, waited)) Try(*route);
@@ -28,29 +28,30 @@
 
 enum class SubmitRoute : uint8_t { kOwner, kLocal };
 
-// What this scheduler knows of the owner.
+// The owner's reachability as this scheduler sees it.
 struct OwnerReachability {
   bool connected = false;
   Duration since_heartbeat{};
-  // Since the table last answered the owner, by its word.
+  // Time since the table last answered the owner, as the owner reported.
   Duration since_table_answer{};
 };
 
-// Whether submissions go to the owner first.
+// Returns whether both this scheduler and the table have been in recent contact
+// with the owner, so that submissions go to it first.
 bool IsOwnerResponsive(const OwnerReachability& owner);
 
 class SubmitCall {
  public:
-  // A route to try now, which counts as tried from then on; nothing when there
-  // is none, or the outcome is known. `waited`: since the caller came.
+  // Returns a route to try now and marks it as tried; nullopt if there is none
+  // or the outcome is known. `waited` is the time since the call arrived.
   std::optional<SubmitRoute> Next(const OwnerReachability& owner,
                                   Duration waited);
   void OnResult(SubmitRoute route, SubmitResult result);
-  // No answer of the owner that was asked can come any more; another one, or
-  // the same on another link, can be asked.
+  // The owner that was tried can no longer answer. A new owner, or the same one
+  // on another link, may be tried.
   void OnOwnerLost();
-  // What the caller is told. A refusal only when every try has refused; nothing
-  // while it isn't known.
+  // The result for the caller, or nullopt while it is undecided. Refused only
+  // if every attempt was refused.
   std::optional<SubmitResult> outcome() const { return outcome_; }
 
  private:
@@ -63,11 +64,12 @@
   Attempt& AttemptFor(SubmitRoute route) {
     return route == SubmitRoute::kOwner ? owner_ : local_;
   }
+  // Sets the outcome unless an attempt is open or the next owner is awaited.
   void DecideOutcome(Duration waited);
 
   Attempt owner_;
   Attempt local_;
-  bool may_be_stored_ = false;  // Some try may have stored it.
+  bool may_be_stored_ = false;  // Some attempt may have stored it.
   std::optional<SubmitResult> outcome_;
 };
 
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
-// Several messages that arrive together are decided on together.
+// Messages that arrive together are handled in one tick.
 constexpr Duration kTickDelay = std::chrono::milliseconds(2);
 constexpr Duration kSummaryInterval = std::chrono::seconds(1);
 constexpr Duration kReloadDelay = std::chrono::milliseconds(200);
-// What was learned rides on a transaction this often; some kilobytes.
+// How often a transaction includes the learned interference: a few kilobytes.
 constexpr Duration kStoreInterferenceInterval = std::chrono::seconds(2);
 constexpr Duration kCommitRetryDelay = std::chrono::milliseconds(150);
 
@@ -29,14 +29,14 @@
 
 }  // namespace
 
-// What is stored, collected table by table.
+// The stored rows, collected prefix by prefix.
 struct WorkOwner::LoadedRows {
   std::vector<std::string> prefixes = {
       rows::kExecutors, rows::kEarlierExecutors, rows::kWorkflows,
       rows::kProgress,  rows::kCancels,          rows::kLearned};
   std::map<std::string, std::vector<Row>> rows_by_prefix;
 
-  // Names of the VMs, each once.
+  // Returns each VM's name once.
   std::set<std::string> VmNames() const {
     std::set<std::string> names;
     for (const char* prefix : {rows::kExecutors, rows::kEarlierExecutors}) {
@@ -68,7 +68,7 @@
 
 void WorkOwner::LoadNext(std::shared_ptr<LoadedRows> loaded_rows) {
   const size_t next = loaded_rows->rows_by_prefix.size();
-  // Nothing is started before it is known in which data halls nothing may be.
+  // Nothing may start before the evacuated data halls are known.
   if (next == loaded_rows->prefixes.size() && !evacuations_().known) {
     Log(LogLevel::kWarning, "evacuations_unknown", {{"epoch", options_.epoch}});
     reload_ = loop_.After(kReloadDelay,
@@ -233,12 +233,13 @@
 }
 
 void WorkOwner::OnWorkflowStored(const Workflow& workflow) {
-  // While loaded_rows, the load finds it.
+  // While loading, the load finds it.
   if (!dispatcher_ || dispatcher_->Knows(workflow.id)) return;
   if (workflow.offered_to == options_.epoch) {
     Add(workflow, std::nullopt);
   } else {
-    // An earlier owner may have heard of it too: what is stored counts.
+    // An earlier owner may have been notified too, so the stored record
+    // decides.
     LoadWorkflow(workflow.id);
   }
 }
@@ -329,7 +330,7 @@
     writes.push_back({rows::kPressure, kAnyVersion,
                       EncodeRecord(dispatcher_->LearnedPressure())});
   }
-  constexpr size_t kMaxWrites = 98;  // Of 100; one is the owner's row.
+  constexpr size_t kMaxWrites = 98;  // The limit is 100; one is the owner row.
   while (!stale_markers_.empty() && writes.size() < kMaxWrites) {
     remove(*stale_markers_.begin());
     stale_markers_.erase(stale_markers_.begin());
--- a/beamhill/scheduler/work_owner.h
+++ b/beamhill/scheduler/work_owner.h
@@ -1,6 +1,6 @@
-// What a scheduler process does while it owns the deployment's work: loads
-// what is stored, keeps a link to each VM's executor, drives the Dispatcher
-// and stores what it decides.
+// Runs the deployment's work while this process owns it: loads the stored
+// state, keeps a link to each VM's executor, drives the Dispatcher and stores
+// its decisions.
 //
 //   WorkOwner owner(loop, table, keeper, options, hooks);
 //   owner.OnWorkflowStored(workflow);
@@ -26,31 +26,31 @@
 
 namespace beamhill {
 
-// Asks the placement advisor; `done` gets nothing when no answer came.
+// Queries the placement advisor; `done` receives nullopt if there is no answer.
 using AdvisorHook = std::function<void(
     const AdviceRequest&, std::function<void(std::optional<Advice>)> done)>;
 
-// The newest that is known of the data halls to be emptied.
+// Returns the newest known set of data halls to evacuate.
 using EvacuationsHook = std::function<const Evacuations&()>;
 
 struct WorkOwnerOptions {
   uint64_t epoch = 0;
   Duration lease_term = std::chrono::seconds(5);
   Duration inherited_bound{};
-  bool first = false;  // No owner came before.
-  // How often new VMs are looked for in the table.
+  bool first = false;  // There was no previous owner.
+  // How often the table is scanned for new VMs.
   Duration vm_scan_interval = std::chrono::milliseconds(1500);
-  // And for rows of executors of an earlier version, which come only while an
-  // upgrade is under way.
+  // How often it is scanned for rows of executors of an earlier version, which
+  // appear only during an upgrade.
   Duration earlier_vm_scan_interval = std::chrono::seconds(15);
-  // How often missed notices of submissions and cancellations are: see
-  // kOrderLife.
+  // How often it is scanned for submissions and cancellations whose notices
+  // were lost; see kOrderLife.
   Duration marker_scan_interval = std::chrono::milliseconds(800);
-  // Least time between the beginnings of two transactions.
+  // Minimum time between the starts of two transactions.
   Duration commit_interval = std::chrono::milliseconds(40);
 };
 
-// Figures that outlive one ownership.
+// Metrics that persist across ownerships.
 struct WorkOwnerMetrics {
   LatencyHistogram* commit = nullptr;
   Counter* starts = nullptr;
@@ -65,27 +65,27 @@
   WorkOwner(const WorkOwner&) = delete;
   WorkOwner& operator=(const WorkOwner&) = delete;
 
-  // Whether what was stored is loaded; before that nothing is decided.
+  // Whether the stored state is loaded; nothing is decided before.
   bool loaded() const { return dispatcher_ != nullptr; }
-  // Notices of what peers or this process stored.
+  // Handle notices of what this process or a peer has stored.
   void OnWorkflowStored(const Workflow& workflow);
   void OnCancelStored(const std::string& workflow);
 
-  // Nothing when it isn't known here, or nothing is loaded yet.
+  // Return nullopt for what is unknown here or not loaded yet.
   std::optional<WorkflowState> StateOf(const std::string& workflow) const;
   std::optional<uint64_t> WaitingIn(const std::string& queue) const;
 
-  // Starts nothing more and stores what is decided by now, then calls `done`.
-  // What ends later is reported again to the next owner.
+  // Stops starting tasks, stores what has been decided so far, then calls
+  // `done`. Runs that end later are reported again to the next owner.
   void Quiesce(std::function<void()> done);
 
-  // For how long the oldest workflow of which VMs still hold runs has been
-  // over; zero without any.
+  // Time since the oldest workflow ended of which VMs still hold runs; zero if
+  // there is none.
   Duration OldestOrphan() const;
-  // For how long the oldest stop that no VM has confirmed has been decided;
-  // zero without any.
+  // Time since the oldest stop was decided that no VM has confirmed; zero if
+  // there is none.
   Duration OldestStop() const;
-  // Null before it is loaded.
+  // Null until loaded.
   const Dispatcher* dispatcher() const { return dispatcher_.get(); }
   std::string Dump() const;
 
@@ -93,13 +93,13 @@
   struct VmPeer {
     VmRecord record;
     std::unique_ptr<DialedPeer> peer;
-    Timer reattach;  // While its work is not all known here.
-    // Its row is one that executors of this version write.
+    Timer reattach;  // While it reports unknown work.
+    // Whether its row was written by an executor of this version.
     bool registered = false;
   };
   struct LoadedRows;
 
-  // In work_owner_vms.cc.
+  // Defined in work_owner_vms.cc.
   void ScanVms();
   void ScanEarlierVms();
   void OnVmRows(const std::vector<Row>& rows);
@@ -107,17 +107,17 @@
   void ConnectIfChanged(const VmRecord& record);
   void Connect(const VmRecord& record);
   void OnVmMessage(const std::string& vm, const DispatchMessage& message);
-  // Breaks links without a sign of life, and logs which came and went.
+  // Closes unresponsive links, and logs which have opened and closed.
   void CheckLinks();
 
-  // In work_owner_log.cc.
+  // Defined in work_owner_log.cc.
   void LogSummary();
   void LogOrphans();
   void LogInterferenceChanges();
 
   void Load();
   void LoadNext(std::shared_ptr<LoadedRows> loaded_rows);
-  // From here on it is loaded().
+  // Makes loaded() true.
   void CreateDispatcher(const LoadedRows& loaded_rows, TimePoint now);
   void AddLoadedWorkflows(const LoadedRows& loaded_rows, TimePoint now);
   void OnLoaded(const LoadedRows& loaded_rows);
@@ -132,8 +132,8 @@
   void MaybeCommit();
   void RequestAdvice();
   void OnCommitted(bool committed, TimePoint sent_at);
-  // Tells the Dispatcher what it may do by now, and logs when the authority of
-  // the ownership is over and when it is back.
+  // Updates what the Dispatcher may do, and logs when the owner's authority
+  // ends and when it is back.
   void RefreshAuthority();
   std::vector<RowWrite> BuildWrites(const DispatchCommit& commit);
 
@@ -152,12 +152,12 @@
   std::vector<std::string> newly_unlinked_;
   std::set<std::string> loading_workflows_;
   std::set<std::string> pending_cancels_;  // Of workflows not added yet.
-  std::set<std::string> stale_markers_;    // To remove with the next commit.
+  std::set<std::string> stale_markers_;  // To be deleted with the next commits.
   bool scanning_vms_ = false;
   bool scanning_markers_ = false;
   bool quiescing_ = false;
   TimePoint quiesce_started_at_{};
-  // A transaction that was made since has taken effect.
+  // Whether a transaction sent since then has taken effect.
   bool quiesce_committed_ = false;
   std::function<void()> on_quiesced_;
   TimePoint next_commit_at_{};
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -1,5 +1,4 @@
-// The part of WorkOwner that shows its state, for the log, for metrics and for
-// operators.
+// WorkOwner's reporting for the log, for metrics and for operators.
 #include <string>
 
 #include "beamhill/log/log.h"
@@ -8,9 +7,9 @@
 namespace beamhill {
 namespace {
 
-// Pairs of images in a log line: below 4 KiB with the users' names.
+// Image pairs per log line; stays below 4 KiB with the users' names.
 constexpr size_t kPairsPerLine = 60;
-// Of one summary.
+// Per summary.
 constexpr size_t kMaxOrphanLines = 10;
 
 }  // namespace
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -1,4 +1,4 @@
-// The part of WorkOwner that finds the VMs' executors and talks with them.
+// WorkOwner's discovery of the VMs' executors and communication with them.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -10,15 +10,15 @@
 namespace beamhill {
 namespace {
 
-// A VM whose executor has said nothing for so long is asked what it holds, and
-// is dialed anew if it does not even answer pings.
+// A VM whose executor has sent no message for this long is asked for its
+// inventory, and is redialed if it does not answer pings either.
 constexpr Duration kVmLinkTimeout = std::chrono::milliseconds(2500);
 constexpr Duration kReattachDelay = std::chrono::milliseconds(300);
-// VMs of one log line: below 4 KiB with the users' names.
+// VMs per log line; stays below 4 KiB with the users' names.
 constexpr size_t kVmsPerLine = 100;
 
-// One line for many: hundreds of VMs are linked in the moment of a takeover,
-// and a line for each would be dropped.
+// Logs many VMs per line: a takeover links hundreds of VMs at once, and some of
+// as many lines would be dropped.
 void LogVms(LogLevel level, const char* event, std::vector<std::string>& vms) {
   for (size_t first = 0; first < vms.size(); first += kVmsPerLine) {
     const size_t end = std::min(first + kVmsPerLine, vms.size());
@@ -59,13 +59,13 @@
     if (!IsOk(record)) continue;
     const std::string& name = ValueOf(record).vm;
     ConnectIfChanged(ValueOf(record));
-    const auto it = vms_.find(name);  // None for an address that is none.
+    const auto it = vms_.find(name);  // Absent if the address is invalid.
     if (it != vms_.end()) it->second.registered = true;
   }
 }
 
-// Of an executor that has been upgraded both rows are there, and only the other
-// one still follows its address.
+// An upgraded executor has both rows, and only the other one is updated with
+// its address.
 void WorkOwner::OnEarlierVmRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     const auto record = DecodeRecord<VmRecord>(row.value);
