--- a/beamhill/scheduler/dialed_peer.cc
+++ b/beamhill/scheduler/dialed_peer.cc
@@ -74,15 +74,16 @@
 void DialedPeer::CloseIfSilent(Duration limit) {
   if (!link_) return;
   const TimePoint now = BootClock::now();
-  const bool stuck = !opened_ && now - dial_started_at_ > kHandshakeTimeout;
-  const bool silent = opened_ && now - last_received_at_ > limit;
-  if (stuck || silent) {
+  const bool handshake_expired =
+      !opened_ && now - dial_started_at_ > kHandshakeTimeout;
+  const bool link_expired = opened_ && now - last_received_at_ > limit;
+  if (handshake_expired || link_expired) {
     link_->Close();
     return;
   }
   // Pings at least twice before the link is closed.
-  const bool quiet = opened_ && now - last_received_at_ > limit / 2;
-  if (!quiet || now - last_ping_at_ < limit / 4) return;
+  const bool idle = opened_ && now - last_received_at_ > limit / 2;
+  if (!idle || now - last_ping_at_ < limit / 4) return;
   last_ping_at_ = now;
   link_->Ping();
 }
--- a/beamhill/scheduler/dialed_peer.h
+++ b/beamhill/scheduler/dialed_peer.h
@@ -20,7 +20,7 @@
 struct DialedPeerHooks {
   std::function<void()> on_open;
   std::function<void(const DispatchMessage&)> on_message;
-  // The link closed or could not be established.
+  // The link closed, or could not be established if `was_open` is false.
   std::function<void(bool was_open)> on_down;
 };
 
--- a/beamhill/scheduler/handover.cc
+++ b/beamhill/scheduler/handover.cc
@@ -79,9 +79,9 @@
   };
   for (size_t i = 0; i < peers.size(); ++i) {
     const PeerView& peer = peers[i];
-    const bool served =
+    const bool answered =
         peer.store_silence + peer.since_heartbeat < max_store_silence;
-    if (peer.since_heartbeat >= kMaxHeartbeatAge || !served) continue;
+    if (peer.since_heartbeat >= kMaxHeartbeatAge || !answered) continue;
     if (!best || rank(i) > rank(*best)) best = i;
   }
   return best;
--- a/beamhill/scheduler/job_repository.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -9,7 +9,7 @@
 // Maximum number of open submission transactions. While answers arrive there is
 // one, since the table processes the transactions of a partition one after
 // another; one whose answer is lost stays open until its timeout.
-constexpr int kMaxOpenTransactions = 5;
+constexpr int kMaxTransactions = 5;
 // Delay after a refusal; doubles with each consecutive one.
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(800);
@@ -59,8 +59,8 @@
 WorkflowState StateFromRow(const Row& progress, bool cancelled) {
   const std::optional<ProgressRecord> record = ParseProgressRow(progress);
   const WorkflowState state = record ? record->state : WorkflowState::kQueued;
-  const bool over = state >= WorkflowState::kCompleted;
-  return cancelled && !over ? WorkflowState::kCancelled : state;
+  const bool ended = state >= WorkflowState::kCompleted;
+  return cancelled && !ended ? WorkflowState::kCancelled : state;
 }
 
 }  // namespace
@@ -74,14 +74,14 @@
     return entry.second.workflow.id == workflow.id;
   };
   const auto it = std::find_if(submissions_.begin(), submissions_.end(), same);
-  if (it == submissions_.end() && table_unresponsive_) {
+  if (it == submissions_.end() && table_down_) {
     done(SubmitResult::kRefused);
     return;
   }
   const Number number =
       it == submissions_.end() ? Add(workflow) : Number{it->first};
   submissions_.at(number).done.push_back(std::move(done));
-  const bool none_open = open_transactions_ == 0 && !table_unresponsive_;
+  const bool none_open = open_ == 0 && !table_down_;
   if (none_open || CanSend()) SendPending();
 }
 
@@ -98,12 +98,11 @@
   return numbers;
 }
 
-void JobRepository::SetTableUnresponsive(bool unresponsive) {
-  table_unresponsive_ = unresponsive;
-  if (!unresponsive) return;
+void JobRepository::SetTableDown(bool down) {
+  table_down_ = down;
+  if (!down) return;
   for (const Number number : PendingSubmissions()) {
-    if (submissions_.at(number).open_transactions == 0)
-      FinishUnanswered(number);
+    if (submissions_.at(number).open == 0) FinishIdle(number);
   }
 }
 
@@ -111,11 +110,12 @@
   const TimePoint now = now_();
   for (const Number number : PendingSubmissions()) {
     const auto first_sent_at = submissions_.at(number).first_sent_at;
-    const bool late = first_sent_at && now - *first_sent_at >= kSubmitTimeout;
-    if (late) Finish(number, SubmitResult::kUnknown);
+    const bool expired =
+        first_sent_at && now - *first_sent_at >= kSubmitTimeout;
+    if (expired) Finish(number, SubmitResult::kUnknown);
   }
   const bool overdue =
-      open_transactions_ > 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ > 0 && now - last_sent_ >= answer_times_.Patience();
   if (CanSend()) {
     SendPending();
   } else if (overdue && awaiting_answer_ && !check_in_flight_ &&
@@ -126,17 +126,15 @@
 
 bool JobRepository::CanSend() const {
   const TimePoint now = now_();
-  if (table_unresponsive_ || open_transactions_ >= kMaxOpenTransactions ||
-      now < retry_at_)
-    return false;
+  if (table_down_ || open_ >= kMaxTransactions || now < retry_at_) return false;
   const bool timed_out =
-      open_transactions_ == 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ == 0 && now - last_sent_ >= answer_times_.Patience();
   return !awaiting_answer_ || timed_out;
 }
 
-// Reads do not queue behind writes, so that this adds no load to a slow table.
-// No new transaction is sent until something is answered, so that pending
-// submissions can still be refused if the table proves unresponsive.
+// Reads do not queue behind writes, so this adds no load to a slow table. No
+// new transaction is sent until something is answered, so that pending
+// submissions can still be refused if the table proves to be down.
 void JobRepository::CheckStored() {
   check_in_flight_ = true;
   const Number number = submissions_.begin()->first;
@@ -150,9 +148,9 @@
 void JobRepository::OnStoredCheck(Number number, TimePoint sent_at,
                                   const std::optional<Row>& row) {
   if (!row) return;
-  const Duration took = now_() - sent_at;
-  const bool lost = answer_times_.IsQuick(took);
-  answer_times_.Add(took);
+  const Duration latency = now_() - sent_at;
+  const bool lost = answer_times_.IsQuick(latency);
+  answer_times_.Add(latency);
   const bool stored = row->version != 0;
   if (stored && submissions_.count(number) > 0) {
     Finish(number, SubmitResult::kAlreadyStored);
@@ -176,7 +174,7 @@
   Transaction transaction;
   for (const Number number : batch) {
     Submission& submission = submissions_.at(number);
-    ++submission.open_transactions;
+    ++submission.open;
     if (!submission.first_sent_at) submission.first_sent_at = now;
     const Workflow& workflow = submission.workflow;
     transaction.writes.push_back(
@@ -184,12 +182,12 @@
     transaction.writes.push_back(
         {rows::NewMarker(workflow.id), kAnyVersion, ""});
   }
-  ++open_transactions_;
+  ++open_;
   awaiting_answer_ = true;
   last_sent_ = now;
   table_.commit(std::move(transaction),
                 lifetime_.Guard([this, batch, now](const CommitAnswer& answer) {
-                  --open_transactions_;
+                  --open_;
                   OnBatchAnswer(batch, now, answer);
                   if (CanSend()) SendPending();
                 }));
@@ -209,18 +207,18 @@
   }
   if (result != CommitResult::kUnknown) awaiting_answer_ = false;
   // Excludes submissions that another transaction has ended meanwhile.
-  std::vector<Number> left;
+  std::vector<Number> remaining;
   for (const Number number : batch) {
     const auto it = submissions_.find(number);
     if (it == submissions_.end()) continue;
-    --it->second.open_transactions;
-    left.push_back(number);
+    --it->second.open;
+    remaining.push_back(number);
   }
   if (result == CommitResult::kConflict && batch.size() > 1) {
-    OnBatchConflict(left, answer.standing);
+    OnBatchConflict(remaining, answer.standing);
     return;
   }
-  for (const Number number : left) OnSubmissionAnswer(number, result);
+  for (const Number number : remaining) OnSubmissionAnswer(number, result);
 }
 
 void JobRepository::OnBatchConflict(const std::vector<Number>& batch,
@@ -251,18 +249,16 @@
       return;
     case CommitResult::kNotApplied:
       // A submission that an earlier transaction may have stored is sent again.
-      if (submission.open_transactions == 0 && !submission.may_be_stored)
-        FinishUnanswered(number);
+      if (submission.open == 0 && !submission.may_be_stored) FinishIdle(number);
       return;
     case CommitResult::kUnknown:
       submission.may_be_stored = true;
-      if (table_unresponsive_ && submission.open_transactions == 0)
-        FinishUnanswered(number);
+      if (table_down_ && submission.open == 0) FinishIdle(number);
       return;
   }
 }
 
-void JobRepository::FinishUnanswered(Number number) {
+void JobRepository::FinishIdle(Number number) {
   Finish(number, submissions_.at(number).may_be_stored
                      ? SubmitResult::kUnknown
                      : SubmitResult::kRefused);
--- a/beamhill/scheduler/job_repository.h
+++ b/beamhill/scheduler/job_repository.h
@@ -10,9 +10,9 @@
 // quickly, the write is repeated. Repeating is safe because the write requires
 // that the workflow's row does not exist.
 //
-// While the table is known to be unresponsive, submissions are refused without
-// being sent: the outcome of one that is sent would be unknown, and its caller
-// could not retry.
+// While the table is known to answer nobody (to be down), submissions are
+// refused without being sent: the outcome of one that is sent would be unknown,
+// and its caller could not retry.
 //
 //   JobRepository repository(table);
 //   repository.Submit(workflow, [](SubmitResult result) { ... });
@@ -71,9 +71,9 @@
   // Checks overdue submissions and ends those that have been unanswered for too
   // long.
   void Tick();
-  // Sets whether the table is known to be unresponsive. If it is, ends the
-  // submissions that no open transaction contains.
-  void SetTableUnresponsive(bool unresponsive);
+  // Sets whether the table is known to be down. If it is, ends the submissions
+  // that no open transaction contains.
+  void SetTableDown(bool down);
   // Stores a cancellation of the workflow, if the workflow is stored.
   void Cancel(const std::string& workflow,
               std::function<void(CancelResult)> done);
@@ -87,7 +87,7 @@
   struct Submission {
     Workflow workflow;
     std::vector<std::function<void(SubmitResult)>> done;
-    int open_transactions = 0;  // Unanswered transactions that contain it.
+    int open = 0;  // Unanswered transactions that contain it.
     // Some transaction may have stored it or may yet do so.
     bool may_be_stored = false;
     std::optional<TimePoint> first_sent_at;
@@ -116,7 +116,7 @@
   void Finish(Number number, SubmitResult result);
   // Ends a submission that no open transaction contains: as unknown if it may
   // be stored, otherwise as refused.
-  void FinishUnanswered(Number number);
+  void FinishIdle(Number number);
   std::vector<Number> PendingSubmissions() const;
 
   // Reads one row, with version 0 if it does not exist; passes nullopt if the
@@ -137,14 +137,14 @@
   std::map<Number, Submission> submissions_;
   Number last_number_ = 0;
   AnswerTimes answer_times_;
-  int open_transactions_ = 0;
+  int open_ = 0;                  // Unanswered transactions.
   bool awaiting_answer_ = false;  // Since the last transaction.
   bool check_in_flight_ = false;
   TimePoint last_sent_{};
   // Backoff after refusals, and its end.
   Duration retry_delay_{};
   TimePoint retry_at_{};
-  bool table_unresponsive_ = false;
+  bool table_down_ = false;
   Lifetime lifetime_;
 };
 
--- a/beamhill/scheduler/job_repository_test.cc
+++ b/beamhill/scheduler/job_repository_test.cc
@@ -58,10 +58,10 @@
 // Guards against sending to a table that has been unresponsive for seconds: on
 // the large site the outcome of every such submission was unknown.
 TEST_F(JobRepositoryTest, NothingIsSentToAnUnresponsiveTable) {
-  repository_.SetTableUnresponsive(true);
+  repository_.SetTableDown(true);
   EXPECT_EQ(Submit("a"), SubmitResult::kRefused);
   EXPECT_TRUE(table_.model().rows().empty());
-  repository_.SetTableUnresponsive(false);
+  repository_.SetTableDown(false);
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
 }
 
@@ -72,7 +72,7 @@
   SubmitResult second = SubmitResult::kAccepted;
   repository_.Submit(Job("a"), [&](SubmitResult r) { first = r; });
   repository_.Submit(Job("b"), [&](SubmitResult r) { second = r; });
-  repository_.SetTableUnresponsive(true);
+  repository_.SetTableDown(true);
   EXPECT_EQ(second, SubmitResult::kRefused);
   table_.Deliver();
   EXPECT_EQ(first, SubmitResult::kUnknown);
@@ -116,7 +116,7 @@
                              [this, id](SubmitResult r) { results_[id] = r; });
   }
 
-  void Advance(Duration time) {
+  void AdvanceClock(Duration time) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += std::chrono::milliseconds(50)) {
       held_repository_->Tick();
@@ -146,7 +146,7 @@
 TEST_F(JobRepositoryAnswersTest, LostAnswerDoesNotBlockLaterSubmissions) {
   SubmitHeld("a");
   SubmitHeld("b");
-  Advance(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   EXPECT_THAT(held_[1].workflows, testing::ElementsAre("a", "b"));
   AnswerHeld(1, CommitResult::kConflict);
@@ -177,11 +177,11 @@
 TEST_F(JobRepositoryAnswersTest, NothingMoreIsSentWithoutAnyAnswer) {
   answer_reads_ = false;
   SubmitHeld("a");
-  Advance(std::chrono::milliseconds(200));
+  AdvanceClock(std::chrono::milliseconds(200));
   SubmitHeld("b");
-  Advance(std::chrono::milliseconds(700));
+  AdvanceClock(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(1));
-  held_repository_->SetTableUnresponsive(true);
+  held_repository_->SetTableDown(true);
   EXPECT_EQ(results_.at("b"), SubmitResult::kRefused);
   EXPECT_EQ(results_.count("a"), 0);
 }
@@ -192,40 +192,40 @@
 TEST_F(JobRepositoryAnswersTest, SlowTableGetsNoRepeatedTransaction) {
   read_latency_ = std::chrono::milliseconds(250);
   SubmitHeld("a");
-  Advance(std::chrono::milliseconds(500));
+  AdvanceClock(std::chrono::milliseconds(500));
   EXPECT_THAT(held_, testing::SizeIs(1));
   AnswerHeld(0, CommitResult::kCommitted);
   EXPECT_EQ(results_.at("a"), SubmitResult::kAccepted);
   SubmitHeld("b");
   SubmitHeld("c");
-  Advance(std::chrono::milliseconds(700));
+  AdvanceClock(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(2));
 }
 
 TEST_F(JobRepositoryAnswersTest, SubmissionFoundStoredIsNotRepeated) {
   SubmitHeld("a");
   table_.model().Commit({{}, {{"workflows/a", 0, "stored"}}});
-  Advance(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
   EXPECT_THAT(held_, testing::SizeIs(1));
 }
 
 TEST_F(JobRepositoryAnswersTest, SentSubmissionEndsWithinTheTimeout) {
   SubmitHeld("a");
-  Advance(std::chrono::milliseconds(2300));
+  AdvanceClock(std::chrono::milliseconds(2300));
   EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
 TEST_F(JobRepositoryAnswersTest, RefusedSubmissionIsRetriedWithBackoff) {
   SubmitHeld("a");
   // Repeated once, so it may be stored.
-  Advance(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(0, CommitResult::kUnknown);
   AnswerHeld(1, CommitResult::kNotApplied);
   for (int i = 0; i < 20; ++i) {
     const size_t sent = held_.size();
-    Advance(std::chrono::milliseconds(50));
+    AdvanceClock(std::chrono::milliseconds(50));
     if (held_.size() > sent) {
       AnswerHeld(held_.size() - 1, CommitResult::kNotApplied);
     }
@@ -236,13 +236,13 @@
 // The first transaction may still take effect.
 TEST_F(JobRepositoryAnswersTest, RefusalOfARepeatDoesNotRefuseTheSubmission) {
   SubmitHeld("a");
-  Advance(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(1, CommitResult::kNotApplied);
   EXPECT_EQ(results_.count("a"), 0);
   AnswerHeld(0, CommitResult::kUnknown);
   EXPECT_EQ(results_.count("a"), 0);
-  held_repository_->SetTableUnresponsive(true);
+  held_repository_->SetTableDown(true);
   EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -134,8 +134,7 @@
                                        owner_metrics_);
   // Loading finds the stored workflows.
   notices_.clear();
-  if (!followed_owner_.address.empty())
-    known_peers_.insert(followed_owner_.address);
+  if (!followed_.address.empty()) known_peers_.insert(followed_.address);
   retired_announcements_ = std::move(announcements_);
   Announce();
   AdvanceSubmissions(/*owner_lost=*/true);
@@ -144,7 +143,7 @@
 void Scheduler::Follow(const OwnerRecord& owner) {
   const Result<Address> address = ParseAddress(owner.address);
   if (!IsOk(address)) return;
-  followed_owner_ = owner;
+  followed_ = owner;
   Log(LogLevel::kInfo, "following",
       {{"owner", owner.owner}, {"epoch", owner.epoch}});
   if (owner_peer_) retired_peers_.push_back(std::move(owner_peer_));
@@ -159,8 +158,7 @@
   };
   hooks.on_down = [this](bool was_open) {
     if (!was_open) return;
-    Log(LogLevel::kWarning, "owner_unlinked",
-        {{"owner", followed_owner_.owner}});
+    Log(LogLevel::kWarning, "owner_unlinked", {{"owner", followed_.owner}});
     AdvanceSubmissions(/*owner_lost=*/true);
   };
   owner_peer_ =
@@ -229,7 +227,7 @@
   return hooks_.store_silence() < kLocalTableSilence;
 }
 
-// A call to an unresponsive table may never be answered, even after the table
+// A call to a table that is down may never be answered, even after the table
 // recovers, so the next probe does not wait for the last one.
 void Scheduler::ProbeTable() {
   const TimePoint now = BootClock::now();
@@ -239,7 +237,7 @@
   table_.read({rows::kOwner}, [](const Result<std::vector<Row>>&) {});
 }
 
-bool Scheduler::IsTableUnresponsive() const {
+bool Scheduler::IsTableDown() const {
   if (hooks_.store_silence() < kGlobalTableSilence) return false;
   if (keeper_->owns()) return true;
   const TimePoint now = BootClock::now();
@@ -253,9 +251,9 @@
   retired_announcements_.reset();
   const TimePoint now = BootClock::now();
   keeper_->Tick();
-  const bool unresponsive = IsTableUnresponsive();
-  if (keeper_->owns() || unresponsive) ProbeTable();
-  repository_.SetTableUnresponsive(unresponsive);
+  const bool table_down = IsTableDown();
+  if (keeper_->owns() || table_down) ProbeTable();
+  repository_.SetTableDown(table_down);
   repository_.Tick();
   AdvanceSubmissions(/*owner_lost=*/false);
   MaybeHandOver();
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -136,8 +136,8 @@
   void MaybeHandOver();
   // Sends the table a read if it has not answered recently.
   void ProbeTable();
-  // Whether the table answers neither this process nor the owner.
-  bool IsTableUnresponsive() const;
+  // Whether the table answers neither this process nor the owner it follows.
+  bool IsTableDown() const;
   bool TableResponds() const;
   void Tick();
 
@@ -214,7 +214,7 @@
   std::unique_ptr<LinkListener> listener_;
   std::map<Link*, Peer> peers_;
   std::unique_ptr<DialedPeer> owner_peer_;
-  OwnerRecord followed_owner_;
+  OwnerRecord followed_;  // The owner that `owner_peer_` is dialed to.
   // Notices that no owner has confirmed yet, by key.
   std::map<std::string, Notice> notices_;
   std::map<uint64_t, OpenSubmission> submissions_;
@@ -234,7 +234,7 @@
   std::vector<Address> unqueried_peers_;  // For later batches.
   // When the current batch was dialed, or when a peer that the table answers
   // last replied.
-  TimePoint query_progress_at_{};
+  TimePoint last_progress_{};
   // Addresses of schedulers, as the owner sent them.
   std::set<std::string> known_peers_;
   // Links on which this process announces its ownership.
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -38,30 +38,30 @@
 }
 
 SchedulerHeartbeat Scheduler::Heartbeat() const {
-  SchedulerHeartbeat heartbeat;
-  heartbeat.name = settings_.name;
-  heartbeat.address = ToString(settings_.peers);
-  heartbeat.incarnation = incarnation_;
-  heartbeat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
-  heartbeat.known_epoch = keeper_->record().epoch;
-  heartbeat.store_silence = hooks_.store_silence();
-  heartbeat.strength = settings_.host_capacity;
-  heartbeat.settings_version = hooks_.settings_version();
-  heartbeat.evacuations = hooks_.evacuations();
-  return heartbeat;
+  SchedulerHeartbeat beat;
+  beat.name = settings_.name;
+  beat.address = ToString(settings_.peers);
+  beat.incarnation = incarnation_;
+  beat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
+  beat.known_epoch = keeper_->record().epoch;
+  beat.store_silence = hooks_.store_silence();
+  beat.strength = settings_.host_capacity;
+  beat.settings_version = hooks_.settings_version();
+  beat.evacuations = hooks_.evacuations();
+  return beat;
 }
 
 // Contains only some of the peers: sending all peers to all peers would take a
 // number of bytes that grows quadratically.
 SchedulerHeartbeat Scheduler::HeartbeatFor(Peer& peer) {
-  SchedulerHeartbeat heartbeat = Heartbeat();
-  if (!keeper_->owns()) return heartbeat;
+  SchedulerHeartbeat beat = Heartbeat();
+  if (!keeper_->owns()) return beat;
   for (Link* link :
        NextRoundRobin(peers_, peer.last_peer_sent, kPeersPerHeartbeat)) {
     const std::string& address = peers_.at(link).last.address;
-    if (!address.empty()) heartbeat.peers.push_back(address);
+    if (!address.empty()) beat.peers.push_back(address);
   }
-  return heartbeat;
+  return beat;
 }
 
 void Scheduler::SendSettingsIfNewer(
@@ -73,30 +73,29 @@
 }
 
 void Scheduler::OnOwnerMessage(const DispatchMessage& message) {
-  if (const auto* heartbeat = std::get_if<SchedulerHeartbeat>(&message)) {
-    if (heartbeat->epoch >= followed_owner_.epoch)
-      keeper_->OnOwnerHeard(heartbeat->epoch);
+  if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
+    if (beat->epoch >= followed_.epoch) keeper_->OnOwnerHeard(beat->epoch);
     owner_heartbeat_at_ = BootClock::now();
-    hooks_.on_evacuations_copy(heartbeat->evacuations);
-    owner_table_responds_ = heartbeat->store_silence < kMaxOwnerTableSilence;
-    owner_table_answer_at_ = owner_heartbeat_at_ - heartbeat->store_silence;
-    known_peers_.insert(heartbeat->peers.begin(), heartbeat->peers.end());
+    hooks_.on_evacuations_copy(beat->evacuations);
+    owner_table_responds_ = beat->store_silence < kMaxOwnerTableSilence;
+    owner_table_answer_at_ = owner_heartbeat_at_ - beat->store_silence;
+    known_peers_.insert(beat->peers.begin(), beat->peers.end());
     // If the table answers, this process can succeed the owner.
-    if (heartbeat->store_silence >= kMaxOwnerTableSilence) ProbeTable();
-    if (heartbeat->incarnation != followed_owner_.incarnation) {
-      keeper_->OnOwnerGone(followed_owner_.incarnation);
+    if (beat->store_silence >= kMaxOwnerTableSilence) ProbeTable();
+    if (beat->incarnation != followed_.incarnation) {
+      keeper_->OnOwnerGone(followed_.incarnation);
     }
     SendSettingsIfNewer(
-        heartbeat->settings_version,
+        beat->settings_version,
         [this](const DispatchMessage& m) { owner_peer_->Send(m); });
   } else if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
     hooks_.on_settings_copy(copy->version, copy->document);
-  } else if (const auto* later = std::get_if<OwnerAnnounced>(&message)) {
-    keeper_->OnOwnerAnnounced(later->record);
-  } else if (const auto* taken = std::get_if<NoticeTaken>(&message)) {
-    notices_.erase(taken->workflow);
-  } else if (const auto* over = std::get_if<HandOver>(&message)) {
-    keeper_->OnHandOver(over->epoch);
+  } else if (const auto* new_owner = std::get_if<OwnerAnnounced>(&message)) {
+    keeper_->OnOwnerAnnounced(new_owner->record);
+  } else if (const auto* confirmed = std::get_if<NoticeTaken>(&message)) {
+    notices_.erase(confirmed->workflow);
+  } else if (const auto* hand_over = std::get_if<HandOver>(&message)) {
+    keeper_->OnHandOver(hand_over->epoch);
   } else if (const auto* result = std::get_if<RelayedResult>(&message)) {
     relays_.Finish(result->id, result->result);
   } else if (const auto* answer = std::get_if<Answer>(&message)) {
@@ -129,13 +128,13 @@
   const auto send = [&peer](const DispatchMessage& m) {
     peer.link->Send(EncodeDispatch(m));
   };
-  if (const auto* heartbeat = std::get_if<SchedulerHeartbeat>(&message)) {
-    peer.last = *heartbeat;
+  if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
+    peer.last = *beat;
     peer.heartbeat_at = BootClock::now();
-    hooks_.on_evacuations_copy(heartbeat->evacuations);
+    hooks_.on_evacuations_copy(beat->evacuations);
     send(HeartbeatFor(peer));
-    SendSettingsIfNewer(heartbeat->settings_version, send);
-    if (heartbeat->known_epoch < keeper_->record().epoch) {
+    SendSettingsIfNewer(beat->settings_version, send);
+    if (beat->known_epoch < keeper_->record().epoch) {
       send(OwnerAnnounced{keeper_->record()});
     }
   } else if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
@@ -184,11 +183,11 @@
     unqueried_peers_.clear();
     return;
   }
-  if (!queried_peers_.empty() && now - query_progress_at_ < kQueryTimeout) {
+  if (!queried_peers_.empty() && now - last_progress_ < kQueryTimeout) {
     queried_peers_.CloseIfSilent(kIsolatedAfter);
     return;
   }
-  query_progress_at_ = now;
+  last_progress_ = now;
   queried_peers_.Clear();
   if (unqueried_peers_.empty()) {
     unqueried_peers_ = KnownAddresses();
@@ -213,11 +212,9 @@
 void Scheduler::OnQueryAnswer(const DispatchMessage& message) {
   if (const auto* copy = std::get_if<ServiceSettingsCopy>(&message)) {
     hooks_.on_settings_copy(copy->version, copy->document);
-  } else if (const auto* heartbeat =
-                 std::get_if<SchedulerHeartbeat>(&message)) {
-    hooks_.on_evacuations_copy(heartbeat->evacuations);
-    if (heartbeat->store_silence < kIsolatedAfter)
-      query_progress_at_ = BootClock::now();
+  } else if (const auto* beat = std::get_if<SchedulerHeartbeat>(&message)) {
+    hooks_.on_evacuations_copy(beat->evacuations);
+    if (beat->store_silence < kIsolatedAfter) last_progress_ = BootClock::now();
   } else if (const auto* announced = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(announced->record);
   }
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -142,7 +142,7 @@
   }
   void RestoreTable() { table_.set_fault(TableFault::kNone); }
 
-  void RunFor(Duration time) {
+  void RunLoopFor(Duration time) {
     const Timer over = loop_->After(time, [this] { loop_->Stop(); });
     loop_->Run();
   }
@@ -186,7 +186,7 @@
   SetUpHeldRun(Job("w", /*is_long_running=*/true));
   ExpireAuthority();
   owner_->OnCancelStored("w");
-  RunFor(milliseconds(100));
+  RunLoopFor(milliseconds(100));
   RestoreTable();
   EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(RunOf("w")) > 0; }));
 }
@@ -207,7 +207,7 @@
   const RunRef cancelled_run = RunOf("w", run.run + 1);
   vm_.SetInventory({cancelled_run});
   vm_.SendInventory();
-  RunFor(milliseconds(100));
+  RunLoopFor(milliseconds(100));
   RestoreTable();
   EXPECT_TRUE(RunUntil([&] { return vm_.stopped().count(cancelled_run) > 0; }));
 }
@@ -216,7 +216,7 @@
 // has ended.
 TEST_F(WorkOwnerAuthorityTest, EndStoredWithoutAuthorityIsAcknowledgedLater) {
   SetUpHeldRun(Job("w", /*is_long_running=*/false));
-  RunFor(milliseconds(300));
+  RunLoopFor(milliseconds(300));
   hold_commit_answers_ = true;
   vm_.ReportEnd({1, RunOf("w"), RunEndKind::kDone, ""});
   ASSERT_TRUE(RunUntil([&] {
@@ -226,7 +226,7 @@
   }));
   ExpireAuthority();
   ReleaseHeldAnswers();
-  RunFor(milliseconds(100));
+  RunLoopFor(milliseconds(100));
   EXPECT_FALSE(keeper_->MayAct());
   RestoreTable();
   EXPECT_TRUE(RunUntil([&] { return vm_.acknowledged_through() >= 1; }));
@@ -236,7 +236,7 @@
 // milliseconds apart in a large deployment.
 TEST_F(WorkOwnerAuthorityTest, StartDecidedAsAuthorityEndsIsSentLater) {
   ExpireAuthorityAfterStartDecision();
-  RunFor(milliseconds(100));
+  RunLoopFor(milliseconds(100));
   RestoreTable();
   EXPECT_TRUE(RunUntil([&] {
     return std::any_of(
@@ -250,14 +250,14 @@
   SetUpHeldRun(Job("w", /*is_long_running=*/true));
   ExpireAuthority();
   owner_->OnCancelStored("w");
-  RunFor(milliseconds(300));
+  RunLoopFor(milliseconds(300));
   EXPECT_FALSE(keeper_->MayAct());
   EXPECT_TRUE(vm_.stopped().empty());
 }
 
 TEST_F(WorkOwnerAuthorityTest, NoStartIsSentAfterAuthorityEnds) {
   ExpireAuthorityAfterStartDecision();
-  RunFor(milliseconds(300));
+  RunLoopFor(milliseconds(300));
   EXPECT_FALSE(keeper_->MayAct());
   EXPECT_TRUE(vm_.started().empty());
 }
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -17,8 +17,8 @@
 // VMs per log line; stays below 4 KiB with the users' names.
 constexpr size_t kVmsPerLine = 100;
 
-// Logs many VMs per line: a takeover links hundreds of VMs at once, and some of
-// as many lines would be dropped.
+// Logs many VMs per line: a takeover links hundreds of VMs at once, and the log
+// would drop separate lines for them.
 void LogVms(LogLevel level, const char* event, std::vector<std::string>& vms) {
   for (size_t first = 0; first < vms.size(); first += kVmsPerLine) {
     const size_t end = std::min(first + kVmsPerLine, vms.size());
@@ -64,8 +64,8 @@
   }
 }
 
-// An upgraded executor has both rows, and only the other one is updated with
-// its address.
+// An upgraded executor has both rows, and only the one of the current version
+// follows its address.
 void WorkOwner::OnEarlierVmRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     const auto record = DecodeRecord<VmRecord>(row.value);
