--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -233,7 +233,7 @@
 }
 
 void WorkOwner::OnWorkflowStored(const Workflow& workflow) {
-  // While loading, the load finds it.
+  // While loading, the load or the next marker scan finds it.
   if (!dispatcher_ || dispatcher_->Knows(workflow.id)) return;
   if (workflow.offered_to == options_.epoch) {
     Add(workflow, std::nullopt);
