--- a/beamhill/scheduler/job_desk.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -1,4 +1,4 @@
-#include "beamhill/scheduler/job_desk.h"
+#include "beamhill/scheduler/job_repository.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,21 +6,22 @@
 namespace beamhill {
 namespace {
 
-// Transactions of submissions that may be open at a time. While answers come it
-// is one, since the table takes those of one partition one after another; each
-// whose answer is lost stays open until its time-out.
-constexpr int kMostOpen = 5;
-// After a refusal, doubled with each in a row.
-constexpr Duration kFirstPause = std::chrono::milliseconds(100);
-constexpr Duration kLongestPause = std::chrono::milliseconds(800);
-// The latest end of a submission that was sent: callers wait for some seconds.
-constexpr Duration kGiveUpAfter = std::chrono::milliseconds(2200);
+// Maximum number of open submission transactions. While answers arrive there is
+// one, since the table processes the transactions of a partition one after
+// another; one whose answer is lost stays open until its timeout.
+constexpr int kMaxTransactions = 5;
+// Delay after a refusal; doubles with each consecutive one.
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(800);
+// Latest end of a submission that was sent; callers wait for a few seconds.
+constexpr Duration kSubmitTimeout = std::chrono::milliseconds(2200);
 // Each workflow takes three of a transaction's 100 entries (the condition that
-// it is new, its row and its marker) and up to some kilobytes of its megabyte.
+// its row does not exist, the row and its marker) and up to a few kilobytes of
+// its megabyte.
 constexpr size_t kMaxBatch = 33;
 
-// Whether the table has looked at the transaction.
-bool IsServed(CommitResult result) {
+// Whether the table evaluated the transaction.
+bool WasEvaluated(CommitResult result) {
   return result == CommitResult::kCommitted ||
          result == CommitResult::kConflict;
 }
@@ -30,67 +31,66 @@
     case CommitResult::kCommitted:
       return CancelResult::kCancelled;
     case CommitResult::kConflict:
-      // The workflow's row never changes, so it was forgotten meanwhile.
+      // The workflow's row never changes, so it has been deleted meanwhile.
       return CancelResult::kNoSuchJob;
     default:
       return CancelResult::kUnknown;
   }
 }
 
-// The workflow that the row holds; nothing when the read failed, or there is
-// no such row, or it can't be read.
-std::optional<Workflow> WorkflowIn(const std::optional<Row>& row) {
+// Decodes a workflow row; nullopt if the read failed, the row does not exist or
+// it can't be decoded.
+std::optional<Workflow> ParseWorkflowRow(const std::optional<Row>& row) {
   if (!row || row->version == 0) return std::nullopt;
   const Result<Workflow> workflow = DecodeRecord<Workflow>(row->value);
   if (!IsOk(workflow)) return std::nullopt;
   return ValueOf(workflow);
 }
 
-// The record that the row holds; nothing when there is none, or it can't be
-// read.
-std::optional<ProgressRecord> RecordIn(const Row& row) {
+// Decodes a progress row; nullopt if it does not exist or can't be decoded.
+std::optional<ProgressRecord> ParseProgressRow(const Row& row) {
   if (row.version == 0) return std::nullopt;
   const Result<ProgressRecord> record = DecodeRecord<ProgressRecord>(row.value);
   if (!IsOk(record)) return std::nullopt;
   return ValueOf(record);
 }
 
-// The state of a stored workflow whose row of progress is this one.
-WorkflowState StateIn(const Row& progress, bool cancelled) {
-  const std::optional<ProgressRecord> record = RecordIn(progress);
+// Returns the state of a stored workflow with this progress row.
+WorkflowState StateFromRow(const Row& progress, bool cancelled) {
+  const std::optional<ProgressRecord> record = ParseProgressRow(progress);
   const WorkflowState state = record ? record->state : WorkflowState::kQueued;
-  const bool over = state >= WorkflowState::kCompleted;
-  return cancelled && !over ? WorkflowState::kCancelled : state;
+  const bool ended = state >= WorkflowState::kCompleted;
+  return cancelled && !ended ? WorkflowState::kCancelled : state;
 }
 
 }  // namespace
 
-JobDesk::JobDesk(Table table, std::function<TimePoint()> now)
+JobRepository::JobRepository(Table table, std::function<TimePoint()> now)
     : table_(std::move(table)), now_(std::move(now)) {}
 
-void JobDesk::Submit(const Workflow& workflow,
-                     std::function<void(SubmitResult)> done) {
+void JobRepository::Submit(const Workflow& workflow,
+                           std::function<void(SubmitResult)> done) {
   const auto same = [&](const auto& entry) {
     return entry.second.workflow.id == workflow.id;
   };
   const auto it = std::find_if(submissions_.begin(), submissions_.end(), same);
-  if (it == submissions_.end() && table_silent_) {
+  if (it == submissions_.end() && table_down_) {
     done(SubmitResult::kRefused);
     return;
   }
   const Number number =
       it == submissions_.end() ? Add(workflow) : Number{it->first};
   submissions_.at(number).done.push_back(std::move(done));
-  const bool none_open = open_ == 0 && !table_silent_;
-  if (none_open || MaySend()) SendWaiting();
+  const bool none_open = open_ == 0 && !table_down_;
+  if (none_open || CanSend()) SendPending();
 }
 
-JobDesk::Number JobDesk::Add(const Workflow& workflow) {
+JobRepository::Number JobRepository::Add(const Workflow& workflow) {
   submissions_[++last_number_].workflow = workflow;
   return last_number_;
 }
 
-std::vector<JobDesk::Number> JobDesk::Waiting() const {
+std::vector<JobRepository::Number> JobRepository::PendingSubmissions() const {
   std::vector<Number> numbers;
   for (const auto& [number, submission] : submissions_) {
     numbers.push_back(number);
@@ -98,67 +98,69 @@
   return numbers;
 }
 
-void JobDesk::SetTableSilent(bool silent) {
-  table_silent_ = silent;
-  if (!silent) return;
-  for (const Number number : Waiting()) {
-    if (submissions_.at(number).open == 0) FinishAsKnown(number);
+void JobRepository::SetTableDown(bool down) {
+  table_down_ = down;
+  if (!down) return;
+  for (const Number number : PendingSubmissions()) {
+    if (submissions_.at(number).open == 0) FinishIdle(number);
   }
 }
 
-void JobDesk::Tick() {
+void JobRepository::Tick() {
   const TimePoint now = now_();
-  for (const Number number : Waiting()) {
-    const auto first_sent = submissions_.at(number).first_sent;
-    const bool late = first_sent && now - *first_sent >= kGiveUpAfter;
-    if (late) Finish(number, SubmitResult::kUnknown);
+  for (const Number number : PendingSubmissions()) {
+    const auto first_sent_at = submissions_.at(number).first_sent_at;
+    const bool expired =
+        first_sent_at && now - *first_sent_at >= kSubmitTimeout;
+    if (expired) Finish(number, SubmitResult::kUnknown);
   }
   const bool overdue =
       open_ > 0 && now - last_sent_ >= answer_times_.Patience();
-  if (MaySend()) {
-    SendWaiting();
-  } else if (overdue && unanswered_ && !looking_ && !submissions_.empty()) {
-    Look();
+  if (CanSend()) {
+    SendPending();
+  } else if (overdue && awaiting_answer_ && !check_in_flight_ &&
+             !submissions_.empty()) {
+    CheckStored();
   }
 }
 
-bool JobDesk::MaySend() const {
+bool JobRepository::CanSend() const {
   const TimePoint now = now_();
-  if (table_silent_ || open_ >= kMostOpen || now < not_before_) return false;
+  if (table_down_ || open_ >= kMaxTransactions || now < retry_at_) return false;
   const bool timed_out =
       open_ == 0 && now - last_sent_ >= answer_times_.Patience();
-  return !unanswered_ || timed_out;
+  return !awaiting_answer_ || timed_out;
 }
 
-// Reads take no turn from writes, so that in a slow table this costs nothing;
-// and nothing new is sent until something is answered, so that it can be
-// refused truthfully if the table answers nobody.
-void JobDesk::Look() {
-  looking_ = true;
+// Reads do not queue behind writes, so this adds no load to a slow table. No
+// new transaction is sent until something is answered, so that pending
+// submissions can still be refused if the table proves to be down.
+void JobRepository::CheckStored() {
+  check_in_flight_ = true;
   const Number number = submissions_.begin()->first;
   ReadRow(rows::kWorkflows + submissions_.begin()->second.workflow.id,
           [this, number, sent_at = now_()](const std::optional<Row>& row) {
-            looking_ = false;
-            OnLook(number, sent_at, row);
+            check_in_flight_ = false;
+            OnStoredCheck(number, sent_at, row);
           });
 }
 
-void JobDesk::OnLook(Number number, TimePoint sent_at,
-                     const std::optional<Row>& row) {
+void JobRepository::OnStoredCheck(Number number, TimePoint sent_at,
+                                  const std::optional<Row>& row) {
   if (!row) return;
-  const Duration took = now_() - sent_at;
-  const bool lost = answer_times_.IsQuick(took);
-  answer_times_.Add(took);
+  const Duration latency = now_() - sent_at;
+  const bool lost = answer_times_.IsQuick(latency);
+  answer_times_.Add(latency);
   const bool stored = row->version != 0;
   if (stored && submissions_.count(number) > 0) {
     Finish(number, SubmitResult::kAlreadyStored);
   }
-  if (!lost || !unanswered_) return;
-  unanswered_ = false;
-  if (MaySend()) SendWaiting();
+  if (!lost || !awaiting_answer_) return;
+  awaiting_answer_ = false;
+  if (CanSend()) SendPending();
 }
 
-void JobDesk::SendWaiting() {
+void JobRepository::SendPending() {
   std::vector<Number> batch;
   for (const auto& [number, submission] : submissions_) {
     if (batch.size() == kMaxBatch) break;
@@ -167,13 +169,13 @@
   if (!batch.empty()) Send(batch);
 }
 
-void JobDesk::Send(const std::vector<Number>& batch) {
+void JobRepository::Send(const std::vector<Number>& batch) {
   const TimePoint now = now_();
   Transaction transaction;
   for (const Number number : batch) {
     Submission& submission = submissions_.at(number);
     ++submission.open;
-    if (!submission.first_sent) submission.first_sent = now;
+    if (!submission.first_sent_at) submission.first_sent_at = now;
     const Workflow& workflow = submission.workflow;
     transaction.writes.push_back(
         {rows::kWorkflows + workflow.id, 0, EncodeRecord(workflow)});
@@ -181,47 +183,48 @@
         {rows::NewMarker(workflow.id), kAnyVersion, ""});
   }
   ++open_;
-  unanswered_ = true;
+  awaiting_answer_ = true;
   last_sent_ = now;
   table_.commit(std::move(transaction),
                 lifetime_.Guard([this, batch, now](const CommitAnswer& answer) {
                   --open_;
-                  OnSent(batch, now, answer);
-                  if (MaySend()) SendWaiting();
+                  OnBatchAnswer(batch, now, answer);
+                  if (CanSend()) SendPending();
                 }));
 }
 
-void JobDesk::OnSent(const std::vector<Number>& batch, TimePoint sent_at,
-                     const CommitAnswer& answer) {
+void JobRepository::OnBatchAnswer(const std::vector<Number>& batch,
+                                  TimePoint sent_at,
+                                  const CommitAnswer& answer) {
   const CommitResult result = answer.result;
-  if (IsServed(result)) {
+  if (WasEvaluated(result)) {
     answer_times_.Add(now_() - sent_at);
-    pause_ = Duration(0);
+    retry_delay_ = Duration(0);
   }
   if (result == CommitResult::kNotApplied) {
-    pause_ = std::clamp(pause_ * 2, kFirstPause, kLongestPause);
-    not_before_ = now_() + pause_;
+    retry_delay_ = std::clamp(retry_delay_ * 2, kMinRetryDelay, kMaxRetryDelay);
+    retry_at_ = now_() + retry_delay_;
   }
-  if (result != CommitResult::kUnknown) unanswered_ = false;
-  // Without those that another transaction has ended meanwhile.
-  std::vector<Number> left;
+  if (result != CommitResult::kUnknown) awaiting_answer_ = false;
+  // Excludes submissions that another transaction has ended meanwhile.
+  std::vector<Number> remaining;
   for (const Number number : batch) {
     const auto it = submissions_.find(number);
     if (it == submissions_.end()) continue;
     --it->second.open;
-    left.push_back(number);
+    remaining.push_back(number);
   }
   if (result == CommitResult::kConflict && batch.size() > 1) {
-    OnBatchConflict(left, answer.standing);
+    OnBatchConflict(remaining, answer.standing);
     return;
   }
-  for (const Number number : left) OnSentOne(number, result);
+  for (const Number number : remaining) OnSubmissionAnswer(number, result);
 }
 
-void JobDesk::OnBatchConflict(const std::vector<Number>& batch,
-                              const std::vector<Row>& standing) {
+void JobRepository::OnBatchConflict(const std::vector<Number>& batch,
+                                    const std::vector<Row>& standing) {
   if (standing.empty()) {
-    // Each by itself tells which.
+    // Sent one by one, their answers show which are stored.
     for (const Number number : batch) Send({number});
     return;
   }
@@ -235,7 +238,7 @@
   }
 }
 
-void JobDesk::OnSentOne(Number number, CommitResult result) {
+void JobRepository::OnSubmissionAnswer(Number number, CommitResult result) {
   Submission& submission = submissions_.at(number);
   switch (result) {
     case CommitResult::kCommitted:
@@ -245,29 +248,30 @@
       Finish(number, SubmitResult::kAlreadyStored);
       return;
     case CommitResult::kNotApplied:
-      // One that an earlier transaction may have stored is tried again.
-      if (submission.open == 0 && !submission.unsure) FinishAsKnown(number);
+      // A submission that an earlier transaction may have stored is sent again.
+      if (submission.open == 0 && !submission.may_be_stored) FinishIdle(number);
       return;
     case CommitResult::kUnknown:
-      submission.unsure = true;
-      if (table_silent_ && submission.open == 0) FinishAsKnown(number);
+      submission.may_be_stored = true;
+      if (table_down_ && submission.open == 0) FinishIdle(number);
       return;
   }
 }
 
-void JobDesk::FinishAsKnown(Number number) {
-  Finish(number, submissions_.at(number).unsure ? SubmitResult::kUnknown
-                                                : SubmitResult::kRefused);
+void JobRepository::FinishIdle(Number number) {
+  Finish(number, submissions_.at(number).may_be_stored
+                     ? SubmitResult::kUnknown
+                     : SubmitResult::kRefused);
 }
 
-void JobDesk::Finish(Number number, SubmitResult result) {
+void JobRepository::Finish(Number number, SubmitResult result) {
   const auto done = std::move(submissions_.at(number).done);
   submissions_.erase(number);
   for (const auto& answer : done) answer(result);
 }
 
-void JobDesk::ReadRow(const std::string& key,
-                      std::function<void(std::optional<Row>)> done) {
+void JobRepository::ReadRow(const std::string& key,
+                            std::function<void(std::optional<Row>)> done) {
   table_.read(
       {key},
       lifetime_.Guard([done = std::move(done)](Result<std::vector<Row>> rows) {
@@ -279,8 +283,8 @@
       }));
 }
 
-void JobDesk::Cancel(const std::string& workflow,
-                     std::function<void(CancelResult)> done) {
+void JobRepository::Cancel(const std::string& workflow,
+                           std::function<void(CancelResult)> done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& stored) {
             if (!stored) {
@@ -293,8 +297,8 @@
           });
 }
 
-void JobDesk::StoreCancel(const std::string& workflow, uint64_t version,
-                          std::function<void(CancelResult)> done) {
+void JobRepository::StoreCancel(const std::string& workflow, uint64_t version,
+                                std::function<void(CancelResult)> done) {
   Transaction transaction;
   transaction.checks.push_back({rows::kWorkflows + workflow, version});
   transaction.writes.push_back({rows::kCancels + workflow, kAnyVersion, ""});
@@ -305,10 +309,10 @@
                 }));
 }
 
-void JobDesk::Load(const std::string& workflow, LoadDone done) {
+void JobRepository::Load(const std::string& workflow, LoadDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, done](const std::optional<Row>& row) {
-            std::optional<Workflow> stored = WorkflowIn(row);
+            std::optional<Workflow> stored = ParseWorkflowRow(row);
             if (!stored) {
               done(std::nullopt, std::nullopt);
               return;
@@ -317,8 +321,8 @@
           });
 }
 
-void JobDesk::LoadRecord(const std::string& id, Workflow workflow,
-                         LoadDone done) {
+void JobRepository::LoadRecord(const std::string& id, Workflow workflow,
+                               LoadDone done) {
   ReadRow(rows::kProgress + id,
           [workflow = std::move(workflow),
            done = std::move(done)](const std::optional<Row>& progress) {
@@ -326,25 +330,25 @@
               done(std::nullopt, std::nullopt);
               return;
             }
-            done(workflow, RecordIn(*progress));
+            done(workflow, ParseProgressRow(*progress));
           });
 }
 
-// Three reads, one after another: whether it is cancelled, whether it is
-// stored, and how far it is.
-void JobDesk::StoredState(const std::string& workflow, StateDone done) {
+// Reads three rows in sequence: the cancellation, the workflow and its
+// progress.
+void JobRepository::StoredState(const std::string& workflow, StateDone done) {
   ReadRow(rows::kCancels + workflow,
           [this, workflow, done](const std::optional<Row>& cancel) {
             if (!cancel) {
               done({false, std::nullopt});
               return;
             }
-            StateIfStored(workflow, cancel->version != 0, done);
+            ReadStateIfStored(workflow, cancel->version != 0, done);
           });
 }
 
-void JobDesk::StateIfStored(const std::string& workflow, bool cancelled,
-                            StateDone done) {
+void JobRepository::ReadStateIfStored(const std::string& workflow,
+                                      bool cancelled, StateDone done) {
   ReadRow(rows::kWorkflows + workflow,
           [this, workflow, cancelled, done](const std::optional<Row>& stored) {
             if (!stored) {
@@ -352,20 +356,20 @@
             } else if (stored->version == 0) {
               done({true, std::nullopt});
             } else {
-              StateByProgress(workflow, cancelled, done);
+              ReadProgressState(workflow, cancelled, done);
             }
           });
 }
 
-void JobDesk::StateByProgress(const std::string& workflow, bool cancelled,
-                              StateDone done) {
+void JobRepository::ReadProgressState(const std::string& workflow,
+                                      bool cancelled, StateDone done) {
   ReadRow(rows::kProgress + workflow,
           [cancelled, done = std::move(done)](const std::optional<Row>& row) {
             if (!row) {
               done({false, std::nullopt});
               return;
             }
-            done({true, StateIn(*row, cancelled)});
+            done({true, StateFromRow(*row, cancelled)});
           });
 }
 
--- /dev/null
+++ b/beamhill/scheduler/job_repository.h
@@ -0,0 +1,153 @@
+// Stores workflows and cancellations in the table and reads their state from
+// it. Works in any scheduler process, whichever one owns the work.
+//
+// A workflow is stored before it is accepted. A marker row stored with it lets
+// the owner find it if the direct notice is lost.
+//
+// Submissions that arrive while a transaction is open share the next one, which
+// reduces the load on a slow table. If an answer is overdue, a read checks
+// whether the submission is stored; if it is not and the read was answered
+// quickly, the write is repeated. Repeating is safe because the write requires
+// that the workflow's row does not exist.
+//
+// While the table is known to answer nobody (to be down), submissions are
+// refused without being sent: the outcome of one that is sent would be unknown,
+// and its caller could not retry.
+//
+//   JobRepository repository(table);
+//   repository.Submit(workflow, [](SubmitResult result) { ... });
+//   repository.Tick();  // Every 50 ms.
+#ifndef BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
+#define BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "beamhill/base/lifetime.h"
+#include "beamhill/dispatch/dispatch_messages.h"
+#include "beamhill/table/answer_times.h"
+#include "beamhill/table/row_names.h"
+#include "beamhill/table/table.h"
+#include "beamhill/workflow/workflow.h"
+
+namespace beamhill {
+
+// Outcome of storing a submission.
+enum class SubmitResult : uint8_t {
+  kAccepted,       // Stored by this call.
+  kAlreadyStored,  // An earlier call has stored it.
+  kRefused,        // Not stored, and never will be by this call.
+  kUnknown,        // It may have been stored.
+};
+
+enum class CancelResult : uint8_t { kCancelled, kNoSuchJob, kUnknown };
+
+struct StateResult {
+  // False if neither the owner nor the table could be queried.
+  bool answered = false;
+  // Empty if there is no such workflow.
+  std::optional<WorkflowState> state;
+};
+
+class JobRepository {
+ public:
+  using StateDone = std::function<void(StateResult)>;
+  // Receives nullopt if there is no such workflow or it can't be read.
+  using LoadDone = std::function<void(std::optional<Workflow>,
+                                      std::optional<ProgressRecord>)>;
+
+  explicit JobRepository(
+      Table table,
+      std::function<TimePoint()> now = [] { return BootClock::now(); });
+
+  // Stores the workflow unless one with its id is stored. A second call for an
+  // id whose first call is unanswered gets the same answer.
+  void Submit(const Workflow& workflow, std::function<void(SubmitResult)> done);
+  // Checks overdue submissions and ends those that have been unanswered for too
+  // long.
+  void Tick();
+  // Sets whether the table is known to be down. If it is, ends the submissions
+  // that no open transaction contains.
+  void SetTableDown(bool down);
+  // Stores a cancellation of the workflow, if the workflow is stored.
+  void Cancel(const std::string& workflow,
+              std::function<void(CancelResult)> done);
+  // Reads the state of the workflow from the table.
+  void StoredState(const std::string& workflow, StateDone done);
+  // Reads the workflow and its progress record, for an owner that found its
+  // marker.
+  void Load(const std::string& workflow, LoadDone done);
+
+ private:
+  struct Submission {
+    Workflow workflow;
+    std::vector<std::function<void(SubmitResult)>> done;
+    int open = 0;  // Unanswered transactions that contain it.
+    // Some transaction may have stored it or may yet do so.
+    bool may_be_stored = false;
+    std::optional<TimePoint> first_sent_at;
+  };
+  using Number = uint64_t;  // Assigned in order of arrival.
+
+  Number Add(const Workflow& workflow);
+  // Whether pending submissions may be sent: an answer has arrived since the
+  // last transaction, or none is expected any more.
+  bool CanSend() const;
+  // Reads the row of the oldest pending submission to see whether its
+  // transaction took effect.
+  void CheckStored();
+  void OnStoredCheck(Number number, TimePoint sent_at,
+                     const std::optional<Row>& row);
+  void SendPending();
+  void Send(const std::vector<Number>& batch);
+  void OnBatchAnswer(const std::vector<Number>& batch, TimePoint sent_at,
+                     const CommitAnswer& answer);
+  // Handles a conflict of a batch of several submissions: ends those that are
+  // stored, by `standing`. The others are sent again together, or one by one
+  // if `standing` is empty.
+  void OnBatchConflict(const std::vector<Number>& batch,
+                       const std::vector<Row>& standing);
+  void OnSubmissionAnswer(Number number, CommitResult result);
+  void Finish(Number number, SubmitResult result);
+  // Ends a submission that no open transaction contains: as unknown if it may
+  // be stored, otherwise as refused.
+  void FinishIdle(Number number);
+  std::vector<Number> PendingSubmissions() const;
+
+  // Reads one row, with version 0 if it does not exist; passes nullopt if the
+  // read failed.
+  void ReadRow(const std::string& key,
+               std::function<void(std::optional<Row>)> done);
+  // `version` is the expected version of the workflow's row.
+  void StoreCancel(const std::string& workflow, uint64_t version,
+                   std::function<void(CancelResult)> done);
+  void LoadRecord(const std::string& id, Workflow workflow, LoadDone done);
+  void ReadStateIfStored(const std::string& workflow, bool cancelled,
+                         StateDone done);
+  void ReadProgressState(const std::string& workflow, bool cancelled,
+                         StateDone done);
+
+  Table table_;
+  std::function<TimePoint()> now_;
+  std::map<Number, Submission> submissions_;
+  Number last_number_ = 0;
+  AnswerTimes answer_times_;
+  int open_ = 0;                  // Unanswered transactions.
+  bool awaiting_answer_ = false;  // Since the last transaction.
+  bool check_in_flight_ = false;
+  TimePoint last_sent_{};
+  // Backoff after refusals, and its end.
+  Duration retry_delay_{};
+  TimePoint retry_at_{};
+  bool table_down_ = false;
+  Lifetime lifetime_;
+};
+
+}  // namespace beamhill
+
+#endif  // BEAMHILL_SCHEDULER_JOB_REPOSITORY_H_
--- a/beamhill/scheduler/job_desk_test.cc
+++ b/beamhill/scheduler/job_repository_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/scheduler/job_desk.h"
+#include "beamhill/scheduler/job_repository.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace beamhill {
 namespace {
 
-class JobDeskTest : public testing::Test {
+class JobRepositoryTest : public testing::Test {
  protected:
   static Workflow Job(const std::string& id) {
     Workflow workflow;
@@ -27,66 +27,66 @@
 
   SubmitResult Submit(const std::string& id) {
     SubmitResult result = SubmitResult::kUnknown;
-    desk_.Submit(Job(id), [&](SubmitResult r) { result = r; });
+    repository_.Submit(Job(id), [&](SubmitResult r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   CancelResult Cancel(const std::string& id) {
     CancelResult result = CancelResult::kUnknown;
-    desk_.Cancel(id, [&](CancelResult r) { result = r; });
+    repository_.Cancel(id, [&](CancelResult r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   StateResult State(const std::string& id) {
     StateResult result;
-    desk_.StoredState(id, [&](const StateResult& r) { result = r; });
+    repository_.StoredState(id, [&](const StateResult& r) { result = r; });
     table_.Deliver();
     return result;
   }
 
   FaultyTable table_;
-  JobDesk desk_{table_.AsTable()};
+  JobRepository repository_{table_.AsTable()};
 };
 
-TEST_F(JobDeskTest, SameIdStaysOneJob) {
+TEST_F(JobRepositoryTest, SecondSubmissionOfAnIdIsAlreadyStored) {
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
   EXPECT_EQ(Submit("a"), SubmitResult::kAlreadyStored);
 }
 
-// Found on the large site (scale-2): all that came while the store had been
-// silent for seconds was sent, and ended without a clear answer.
-TEST_F(JobDeskTest, NothingIsSentToATableThatIsKnownToBeSilent) {
-  desk_.SetTableSilent(true);
+// Guards against sending to a table that has been unresponsive for seconds: on
+// the large site the outcome of every such submission was unknown.
+TEST_F(JobRepositoryTest, NothingIsSentToAnUnresponsiveTable) {
+  repository_.SetTableDown(true);
   EXPECT_EQ(Submit("a"), SubmitResult::kRefused);
   EXPECT_TRUE(table_.model().rows().empty());
-  desk_.SetTableSilent(false);
+  repository_.SetTableDown(false);
   EXPECT_EQ(Submit("a"), SubmitResult::kAccepted);
 }
 
-// What waits behind a transaction that the table has not answered is unsent.
-TEST_F(JobDeskTest, WhatWaitsBehindAnUnansweredCallIsRefusedUnsent) {
+// A submission that waits behind an unanswered transaction has not been sent.
+TEST_F(JobRepositoryTest, SubmissionBehindAnUnansweredTransactionIsRefused) {
   table_.set_fault(TableFault::kAnswerLost);
   SubmitResult first = SubmitResult::kAccepted;
   SubmitResult second = SubmitResult::kAccepted;
-  desk_.Submit(Job("a"), [&](SubmitResult r) { first = r; });
-  desk_.Submit(Job("b"), [&](SubmitResult r) { second = r; });
-  desk_.SetTableSilent(true);
+  repository_.Submit(Job("a"), [&](SubmitResult r) { first = r; });
+  repository_.Submit(Job("b"), [&](SubmitResult r) { second = r; });
+  repository_.SetTableDown(true);
   EXPECT_EQ(second, SubmitResult::kRefused);
   table_.Deliver();
   EXPECT_EQ(first, SubmitResult::kUnknown);
 }
 
-// A table whose answers a test gives by hand, or never.
-class JobDeskAnswersTest : public JobDeskTest {
+// Holds back the table's answers until the test gives them.
+class JobRepositoryAnswersTest : public JobRepositoryTest {
  protected:
   struct Held {
     std::vector<std::string> workflows;
     CommitDone done;
   };
 
-  JobDeskAnswersTest() {
+  JobRepositoryAnswersTest() {
     Table table;
     table.commit = [this](const Transaction& transaction, CommitDone done) {
       Held held;
@@ -99,27 +99,29 @@
       held_.push_back(std::move(held));
     };
     table.read = [this](const std::vector<std::string>& keys, ReadAnswer done) {
-      if (!reads_answered_) return;
+      if (!answer_reads_) return;
       const TimePoint asked = now_;
-      looks_.push_back([this, asked, keys, done = std::move(done)] {
-        if (now_ - asked < read_takes_) return false;
+      pending_reads_.push_back([this, asked, keys, done = std::move(done)] {
+        if (now_ - asked < read_latency_) return false;
         done(table_.model().Read(keys));
         return true;
       });
     };
-    held_desk_ = std::make_unique<JobDesk>(table, [this] { return now_; });
+    held_repository_ =
+        std::make_unique<JobRepository>(table, [this] { return now_; });
   }
 
   void SubmitHeld(const std::string& id) {
-    held_desk_->Submit(Job(id), [this, id](SubmitResult r) { told_[id] = r; });
+    held_repository_->Submit(Job(id),
+                             [this, id](SubmitResult r) { results_[id] = r; });
   }
 
-  void Pass(Duration time) {
+  void AdvanceClock(Duration time) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += std::chrono::milliseconds(50)) {
-      held_desk_->Tick();
-      for (const auto& look : std::exchange(looks_, {})) {
-        if (!look()) looks_.push_back(look);
+      held_repository_->Tick();
+      for (const auto& pending_read : std::exchange(pending_reads_, {})) {
+        if (!pending_read()) pending_reads_.push_back(pending_read);
       }
     }
   }
@@ -129,98 +131,101 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  bool reads_answered_ = true;
-  Duration read_takes_{};
-  std::vector<std::function<bool()>> looks_;  // True once answered.
+  bool answer_reads_ = true;
+  Duration read_latency_{};
+  // Each returns true once answered.
+  std::vector<std::function<bool()>> pending_reads_;
   std::vector<Held> held_;
-  std::map<std::string, SubmitResult> told_;
-  std::unique_ptr<JobDesk> held_desk_;
+  std::map<std::string, SubmitResult> results_;
+  std::unique_ptr<JobRepository> held_repository_;
 };
 
-// It held up all that came behind it for the time-out of a call, 1.5 s; on a
-// day on which the store loses three answers in ten, most callers.
-TEST_F(JobDeskAnswersTest, LostAnswerHoldsUpNothingForLong) {
+// Guards against a lost answer that blocks later submissions for the timeout of
+// a call, 1.5 s. That affected most callers when the table lost three in ten
+// answers.
+TEST_F(JobRepositoryAnswersTest, LostAnswerDoesNotBlockLaterSubmissions) {
   SubmitHeld("a");
   SubmitHeld("b");
-  Pass(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   EXPECT_THAT(held_[1].workflows, testing::ElementsAre("a", "b"));
   AnswerHeld(1, CommitResult::kConflict);
   ASSERT_THAT(held_, testing::SizeIs(4));
   AnswerHeld(2, CommitResult::kConflict);
   AnswerHeld(3, CommitResult::kCommitted);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAlreadyStored);
-  EXPECT_EQ(told_.at("b"), SubmitResult::kAccepted);
-  // The first one's time-out changes nothing any more.
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
+  EXPECT_EQ(results_.at("b"), SubmitResult::kAccepted);
+  // The timeout of the first transaction has no further effect.
   AnswerHeld(0, CommitResult::kUnknown);
   SubmitHeld("c");
   EXPECT_THAT(held_.back().workflows, testing::ElementsAre("c"));
 }
 
-// Alone, each of them would take a turn of a slow table.
-TEST_F(JobDeskAnswersTest, OthersOfATransactionWithAStoredOneGoTogether) {
+// Sent one by one, each would take a turn in a slow table.
+TEST_F(JobRepositoryAnswersTest, OthersOfAConflictingBatchAreSentTogether) {
   SubmitHeld("a");
   for (const char* id : {"b", "c", "d"}) SubmitHeld(id);
   AnswerHeld(0, CommitResult::kCommitted);
   held_.at(1).done(
       {CommitResult::kConflict, {}, {{"workflows/c", "stored", 7}}});
-  EXPECT_EQ(told_.at("c"), SubmitResult::kAlreadyStored);
+  EXPECT_EQ(results_.at("c"), SubmitResult::kAlreadyStored);
   ASSERT_THAT(held_, testing::SizeIs(3));
   EXPECT_THAT(held_[2].workflows, testing::ElementsAre("b", "d"));
 }
 
-// What was sent can't be refused truthfully once the table turns out to answer
-// nobody.
-TEST_F(JobDeskAnswersTest, NothingMoreIsSentToATableThatAnswersNothing) {
-  reads_answered_ = false;
+// Once sent, a submission can't be refused if the table proves unresponsive.
+TEST_F(JobRepositoryAnswersTest, NothingMoreIsSentWithoutAnyAnswer) {
+  answer_reads_ = false;
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(200));
+  AdvanceClock(std::chrono::milliseconds(200));
   SubmitHeld("b");
-  Pass(std::chrono::milliseconds(700));
+  AdvanceClock(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(1));
-  held_desk_->SetTableSilent(true);
-  EXPECT_EQ(told_.at("b"), SubmitResult::kRefused);
-  EXPECT_EQ(told_.count("a"), 0);
+  held_repository_->SetTableDown(true);
+  EXPECT_EQ(results_.at("b"), SubmitResult::kRefused);
+  EXPECT_EQ(results_.count("a"), 0);
 }
 
-// Each transaction took 0.18 s of the table's time: repeats filled it until it
-// refused the owner's as well.
-TEST_F(JobDeskAnswersTest, SlowTableGetsNoTransactionTwice) {
-  read_takes_ = std::chrono::milliseconds(250);
+// Guards against repeats that overload a slow table: with 0.18 s per
+// transaction they filled its queue until it refused the owner's transactions
+// as well.
+TEST_F(JobRepositoryAnswersTest, SlowTableGetsNoRepeatedTransaction) {
+  read_latency_ = std::chrono::milliseconds(250);
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(500));
+  AdvanceClock(std::chrono::milliseconds(500));
   EXPECT_THAT(held_, testing::SizeIs(1));
   AnswerHeld(0, CommitResult::kCommitted);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAccepted);
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAccepted);
   SubmitHeld("b");
   SubmitHeld("c");
-  Pass(std::chrono::milliseconds(700));
+  AdvanceClock(std::chrono::milliseconds(700));
   EXPECT_THAT(held_, testing::SizeIs(2));
 }
 
-TEST_F(JobDeskAnswersTest, WhatALookShowsNeedsNoRepeat) {
+TEST_F(JobRepositoryAnswersTest, SubmissionFoundStoredIsNotRepeated) {
   SubmitHeld("a");
   table_.model().Commit({{}, {{"workflows/a", 0, "stored"}}});
-  Pass(std::chrono::milliseconds(250));
-  EXPECT_EQ(told_.at("a"), SubmitResult::kAlreadyStored);
+  AdvanceClock(std::chrono::milliseconds(250));
+  EXPECT_EQ(results_.at("a"), SubmitResult::kAlreadyStored);
   EXPECT_THAT(held_, testing::SizeIs(1));
 }
 
-TEST_F(JobDeskAnswersTest, SubmissionThatWasSentEndsWithinSecondsWhateverIs) {
+TEST_F(JobRepositoryAnswersTest, SentSubmissionEndsWithinTheTimeout) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(2300));
-  EXPECT_EQ(told_.at("a"), SubmitResult::kUnknown);
+  AdvanceClock(std::chrono::milliseconds(2300));
+  EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
-TEST_F(JobDeskAnswersTest, TableThatRefusesIsAskedAgainAfterPausesThatGrow) {
+TEST_F(JobRepositoryAnswersTest, RefusedSubmissionIsRetriedWithBackoff) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(250));  // Repeated once; so it is unsure.
+  // Repeated once, so it may be stored.
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(0, CommitResult::kUnknown);
   AnswerHeld(1, CommitResult::kNotApplied);
   for (int i = 0; i < 20; ++i) {
     const size_t sent = held_.size();
-    Pass(std::chrono::milliseconds(50));
+    AdvanceClock(std::chrono::milliseconds(50));
     if (held_.size() > sent) {
       AnswerHeld(held_.size() - 1, CommitResult::kNotApplied);
     }
@@ -228,44 +233,46 @@
   EXPECT_LE(held_.size(), 7);
 }
 
-// The first may still take effect.
-TEST_F(JobDeskAnswersTest, RefusalOfARepeatedTransactionIsNoRefusal) {
+// The first transaction may still take effect.
+TEST_F(JobRepositoryAnswersTest, RefusalOfARepeatDoesNotRefuseTheSubmission) {
   SubmitHeld("a");
-  Pass(std::chrono::milliseconds(250));
+  AdvanceClock(std::chrono::milliseconds(250));
   ASSERT_THAT(held_, testing::SizeIs(2));
   AnswerHeld(1, CommitResult::kNotApplied);
-  EXPECT_EQ(told_.count("a"), 0);
+  EXPECT_EQ(results_.count("a"), 0);
   AnswerHeld(0, CommitResult::kUnknown);
-  EXPECT_EQ(told_.count("a"), 0);
-  held_desk_->SetTableSilent(true);
-  EXPECT_EQ(told_.at("a"), SubmitResult::kUnknown);
+  EXPECT_EQ(results_.count("a"), 0);
+  held_repository_->SetTableDown(true);
+  EXPECT_EQ(results_.at("a"), SubmitResult::kUnknown);
 }
 
-// Found on the large site's incident: the store refused a transaction of ours
-// for its entries. It counts a condition, a row and a marker for each workflow.
-TEST_F(JobDeskTest, TransactionsStayBelowTheTablesLimit) {
-  constexpr size_t kMostEntries = 100;
-  size_t most = 0;
+// Guards against exceeding the table's limit on entries, for which it refused
+// transactions on the large site. Each workflow counts as a condition, a row
+// and a marker.
+TEST_F(JobRepositoryTest, TransactionsStayBelowTheEntryLimit) {
+  constexpr size_t kMaxEntries = 100;
+  size_t max_entries = 0;
   Table counting = table_.AsTable();
   counting.commit = [&](Transaction transaction, CommitDone done) {
     size_t entries = transaction.checks.size() + transaction.writes.size();
     for (const RowWrite& write : transaction.writes) {
       if (write.expected_version != kAnyVersion) ++entries;
     }
-    most = std::max(most, entries);
+    max_entries = std::max(max_entries, entries);
     table_.AsTable().commit(std::move(transaction), std::move(done));
   };
-  JobDesk desk(counting);
+  JobRepository repository(counting);
   int accepted = 0;
   for (int i = 0; i < 90; ++i) {
-    desk.Submit(Job("j" + std::to_string(i)), [&](SubmitResult result) {
+    repository.Submit(Job("j" + std::to_string(i)), [&](SubmitResult result) {
       accepted += static_cast<int>(result == SubmitResult::kAccepted);
     });
   }
   table_.Deliver();
   EXPECT_EQ(accepted, 90);
-  EXPECT_LE(most, kMostEntries);
-  EXPECT_GT(most, kMostEntries / 2);  // They do share transactions.
+  EXPECT_LE(max_entries, kMaxEntries);
+  // Submissions do share transactions.
+  EXPECT_GT(max_entries, kMaxEntries / 2);
 }
 
 struct FaultCase {
@@ -274,11 +281,11 @@
   SubmitResult submitted_again;
 };
 
-class JobDeskFaultTest : public JobDeskTest,
-                         public testing::WithParamInterface<FaultCase> {};
+class JobRepositoryFaultTest : public JobRepositoryTest,
+                               public testing::WithParamInterface<FaultCase> {};
 
-// A refusal is said only of what was not and will not be stored.
-TEST_P(JobDeskFaultTest, AnswerIsTrueOfTheTable) {
+// Refused means not stored now or later.
+TEST_P(JobRepositoryFaultTest, ResultMatchesTheTable) {
   table_.set_fault(GetParam().fault);
   EXPECT_EQ(Submit("a"), GetParam().submitted);
   table_.set_fault(TableFault::kNone);
@@ -286,7 +293,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Faults, JobDeskFaultTest,
+    Faults, JobRepositoryFaultTest,
     testing::Values(FaultCase{TableFault::kDown, SubmitResult::kRefused,
                               SubmitResult::kAccepted},
                     FaultCase{TableFault::kAnswerLost, SubmitResult::kUnknown,
@@ -294,11 +301,12 @@
                     FaultCase{TableFault::kLate, SubmitResult::kUnknown,
                               SubmitResult::kAccepted}));
 
-TEST_F(JobDeskTest, SubmissionsShareATransactionAndAreToldApart) {
+TEST_F(JobRepositoryTest, BatchedSubmissionsGetSeparateResults) {
   EXPECT_EQ(Submit("b"), SubmitResult::kAccepted);
   std::map<std::string, SubmitResult> results;
   for (const char* id : {"a", "c", "d", "b", "e"}) {
-    desk_.Submit(Job(id), [&results, id](SubmitResult r) { results[id] = r; });
+    repository_.Submit(Job(id),
+                       [&results, id](SubmitResult r) { results[id] = r; });
   }
   table_.Deliver();
   EXPECT_EQ(results.size(), 5);
@@ -309,14 +317,14 @@
   }
 }
 
-TEST_F(JobDeskTest, CancelIsStoredAndShown) {
+TEST_F(JobRepositoryTest, CancellationIsStoredAndReported) {
   Submit("a");
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(Cancel("a"), CancelResult::kCancelled);
   EXPECT_EQ(State("a").state, WorkflowState::kCancelled);
 }
 
-TEST_F(JobDeskTest, UnknownJobIsToldApartFromAnUnansweringTable) {
+TEST_F(JobRepositoryTest, UnknownJobDiffersFromUnansweredQuery) {
   EXPECT_EQ(Cancel("a"), CancelResult::kNoSuchJob);
   EXPECT_TRUE(State("a").answered);
   EXPECT_FALSE(State("a").state);
--- a/beamhill/scheduler/submit_call_test.cc
+++ b/beamhill/scheduler/submit_call_test.cc
@@ -7,49 +7,54 @@
 
 using std::chrono::milliseconds;
 using R = SubmitResult;
-using W = SubmitWay;
+using W = SubmitRoute;
 
-const OwnerReach kServing = {true, milliseconds(100), milliseconds(300)};
-const OwnerReach kUnheard = {true, milliseconds(600), milliseconds(300)};
-const OwnerReach kCutOff = {true, milliseconds(100), milliseconds(1200)};
-const OwnerReach kNone = {};
-constexpr Duration kSoon = milliseconds(50);
-constexpr Duration kLong = milliseconds(2500);
+const OwnerReachability kResponsive = {true, milliseconds(100),
+                                       milliseconds(300)};
+const OwnerReachability kNoHeartbeat = {true, milliseconds(600),
+                                        milliseconds(300)};
+const OwnerReachability kNoTableAnswer = {true, milliseconds(100),
+                                          milliseconds(1200)};
+const OwnerReachability kNoOwner = {};
+constexpr Duration kShortWait = milliseconds(50);
+constexpr Duration kLongWait = milliseconds(2500);
 
-// A slow table takes some transactions a second from all schedulers together.
-TEST(SubmitCallTest, OwnerThatIsThereStoresForAllAndNobodyElseWrites) {
+// A slow table takes a few transactions per second from all schedulers
+// together.
+TEST(SubmitCallTest, ResponsiveOwnerIsTheOnlyRoute) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
-  EXPECT_EQ(call.Next(kServing, kSoon), std::nullopt);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), std::nullopt);
   EXPECT_EQ(call.outcome(), std::nullopt);
   call.OnResult(W::kOwner, R::kAccepted);
   EXPECT_EQ(call.outcome(), R::kAccepted);
-  EXPECT_EQ(call.Next(kNone, kSoon), std::nullopt);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), std::nullopt);
 }
 
-TEST(SubmitCallTest, OwnerThatFallsSilentIsNotWaitedFor) {
-  for (const OwnerReach& owner : {kUnheard, kCutOff, kNone}) {
+TEST(SubmitCallTest, StoresLocallyWhenTheOwnerBecomesUnresponsive) {
+  for (const OwnerReachability& owner :
+       {kNoHeartbeat, kNoTableAnswer, kNoOwner}) {
     SubmitCall call;
-    EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
-    EXPECT_EQ(call.Next(owner, kSoon), W::kHere);
-    call.OnResult(W::kHere, R::kAlreadyStored);
+    EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
+    EXPECT_EQ(call.Next(owner, kShortWait), W::kLocal);
+    call.OnResult(W::kLocal, R::kAlreadyStored);
     EXPECT_EQ(call.outcome(), R::kAlreadyStored);
   }
 }
 
-TEST(SubmitCallTest, WithoutAnOwnerItIsStoredHere) {
+TEST(SubmitCallTest, StoresLocallyWithoutAnOwner) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kNone, kSoon), W::kHere);
-  call.OnResult(W::kHere, R::kAccepted);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
+  call.OnResult(W::kLocal, R::kAccepted);
   EXPECT_EQ(call.outcome(), R::kAccepted);
 }
 
-TEST(SubmitCallTest, OwnerThatComesBackIsAskedAfterATableThatTurnsUsAway) {
+TEST(SubmitCallTest, RecoveredOwnerIsTriedAfterALocalRefusal) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kUnheard, kSoon), W::kHere);
-  EXPECT_EQ(call.Next(kServing, kSoon), std::nullopt);
-  call.OnResult(W::kHere, R::kRefused);
-  EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
+  EXPECT_EQ(call.Next(kNoHeartbeat, kShortWait), W::kLocal);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), std::nullopt);
+  call.OnResult(W::kLocal, R::kRefused);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
 }
 
 struct Case {
@@ -58,8 +63,8 @@
   R outcome;
 };
 
-// Refused means that it was stored by neither, and never will be.
-TEST(SubmitCallTest, OnlyRefusalsMakeARefusal) {
+// Refused means that neither route stored the submission nor ever will.
+TEST(SubmitCallTest, RefusedOnlyIfEveryAttemptWasRefused) {
   for (const Case& c : {Case{R::kRefused, R::kRefused, R::kRefused},
                         Case{R::kRefused, R::kUnknown, R::kUnknown},
                         Case{R::kUnknown, R::kRefused, R::kUnknown},
@@ -67,59 +72,60 @@
                         Case{R::kUnknown, R::kAlreadyStored, R::kAlreadyStored},
                         Case{std::nullopt, R::kRefused, R::kUnknown}}) {
     SubmitCall call;
-    EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
+    EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
     if (c.owner) {
       call.OnResult(W::kOwner, *c.owner);
     } else {
       call.OnOwnerLost();
     }
-    EXPECT_EQ(call.Next(kNone, kSoon), W::kHere);
-    call.OnResult(W::kHere, *c.here);
-    EXPECT_EQ(call.Next(kNone, kLong), std::nullopt);
+    EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
+    call.OnResult(W::kLocal, *c.here);
+    EXPECT_EQ(call.Next(kNoOwner, kLongWait), std::nullopt);
     EXPECT_EQ(call.outcome(), c.outcome);
   }
 }
 
-// The table turns the owner away, and this scheduler as well: callers waited
-// until their deadline though there was a new owner after 1.5 s.
-TEST(SubmitCallTest, NextOwnerIsAskedWhereBothWereTurnedAway) {
+// Guards against not asking the next owner after the table has rejected both
+// the previous owner and this scheduler: callers waited until their deadline
+// although a new owner was there after 1.5 s.
+TEST(SubmitCallTest, NextOwnerIsTriedAfterBothRoutesFailed) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
-  EXPECT_EQ(call.Next(kCutOff, milliseconds(900)), W::kHere);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
+  EXPECT_EQ(call.Next(kNoTableAnswer, milliseconds(900)), W::kLocal);
   call.OnOwnerLost();
-  EXPECT_EQ(call.Next(kNone, milliseconds(1000)), std::nullopt);
-  EXPECT_EQ(call.Next(kServing, milliseconds(1500)), W::kOwner);
+  EXPECT_EQ(call.Next(kNoOwner, milliseconds(1000)), std::nullopt);
+  EXPECT_EQ(call.Next(kResponsive, milliseconds(1500)), W::kOwner);
   call.OnResult(W::kOwner, R::kAccepted);
   EXPECT_EQ(call.outcome(), R::kAccepted);
 }
 
-TEST(SubmitCallTest, OneThatMayBeStoredWaitsForTheNextOwnerButNotForLong) {
+TEST(SubmitCallTest, UnknownOutcomeWaitsForTheNextOwnerUpToALimit) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
   call.OnOwnerLost();
-  EXPECT_EQ(call.Next(kNone, kSoon), W::kHere);
-  call.OnResult(W::kHere, R::kRefused);
-  EXPECT_EQ(call.Next(kNone, kSoon), std::nullopt);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
+  call.OnResult(W::kLocal, R::kRefused);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), std::nullopt);
   EXPECT_EQ(call.outcome(), std::nullopt);
-  EXPECT_EQ(call.Next(kNone, kLong), std::nullopt);
+  EXPECT_EQ(call.Next(kNoOwner, kLongWait), std::nullopt);
   EXPECT_EQ(call.outcome(), R::kUnknown);
 }
 
-// The caller can come again.
-TEST(SubmitCallTest, WhatIsCertainlyNotStoredIsRefusedAtOnce) {
+// The caller can retry.
+TEST(SubmitCallTest, DefiniteRefusalIsReportedAtOnce) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kNone, kSoon), W::kHere);
-  call.OnResult(W::kHere, R::kRefused);
-  EXPECT_EQ(call.Next(kNone, kSoon), std::nullopt);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), W::kLocal);
+  call.OnResult(W::kLocal, R::kRefused);
+  EXPECT_EQ(call.Next(kNoOwner, kShortWait), std::nullopt);
   EXPECT_EQ(call.outcome(), R::kRefused);
 }
 
-TEST(SubmitCallTest, RefusalHereWaitsForTheOwnersAnswer) {
+TEST(SubmitCallTest, LocalRefusalWaitsForTheOwnersAnswer) {
   SubmitCall call;
-  EXPECT_EQ(call.Next(kServing, kSoon), W::kOwner);
-  EXPECT_EQ(call.Next(kUnheard, kSoon), W::kHere);
-  call.OnResult(W::kHere, R::kRefused);
-  EXPECT_EQ(call.Next(kUnheard, kSoon), std::nullopt);
+  EXPECT_EQ(call.Next(kResponsive, kShortWait), W::kOwner);
+  EXPECT_EQ(call.Next(kNoHeartbeat, kShortWait), W::kLocal);
+  call.OnResult(W::kLocal, R::kRefused);
+  EXPECT_EQ(call.Next(kNoHeartbeat, kShortWait), std::nullopt);
   EXPECT_EQ(call.outcome(), std::nullopt);
   call.OnResult(W::kOwner, R::kAccepted);
   EXPECT_EQ(call.outcome(), R::kAccepted);
