--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -24,7 +24,7 @@
     // Stays unsettled until the VM can be told.
     if (!vm.linked || !vm.answered) continue;
     vm.settled = end.second;
-    Send(name, EndsSettled{options_.epoch, end.first, end.second});
+    Send(name, EndsAcknowledged{options_.epoch, end.first, end.second});
   }
 }
 
--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -101,7 +101,7 @@
 };
 
 // Owner to executor: ends up to this number are durable.
-struct EndsSettled {
+struct EndsAcknowledged {
   uint64_t epoch = 0;
   std::string life;
   uint64_t through = 0;
@@ -383,7 +383,7 @@
 };
 
 using DispatchMessage =
-    std::variant<Attach, RenewLease, StartRuns, StopRuns, EndsSettled,
+    std::variant<Attach, RenewLease, StartRuns, StopRuns, EndsAcknowledged,
                  VmHeartbeat, VmStatus, VmInventory, RunReports,
                  SchedulerHeartbeat, ServiceSettingsCopy, WorkflowStored,
                  CancelStored, NoticeTaken, Question, Answer, HandOver,
--- a/beamhill/dispatch/dispatcher_test_base.h
+++ b/beamhill/dispatch/dispatcher_test_base.h
@@ -141,7 +141,8 @@
             sent.stops.push_back(stopped);
           }
         }
-      } else if (const auto* end = std::get_if<EndsSettled>(&out.message)) {
+      } else if (const auto* end =
+                     std::get_if<EndsAcknowledged>(&out.message)) {
         sent.settled.push_back({out.vm, end->through});
       }
     }
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -182,7 +182,7 @@
     if (IsCurrent(link, starts->epoch, starts->life)) OnStartRuns(*starts);
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     if (IsCurrent(link, stops->epoch, stops->life)) OnStopRuns(*stops);
-  } else if (const auto* settled = std::get_if<EndsSettled>(&message)) {
+  } else if (const auto* settled = std::get_if<EndsAcknowledged>(&message)) {
     if (IsCurrent(link, settled->epoch, settled->life)) OnSettled(*settled);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
     if (IsCurrent(link, traits->epoch, traits->life)) OnTraits(*traits);
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -221,7 +221,7 @@
   void OnRunsOn(const RunRef& run, Order& order, TimePoint sent_at);
 
   // In executor_looks.cc.
-  void OnSettled(const EndsSettled& settled);
+  void OnSettled(const EndsAcknowledged& settled);
   // Asks the runner what it holds; it may wait so long for an end.
   void Look(std::chrono::milliseconds wait);
   // Looks at once, unless too many looks are open; returns whether it does.
--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-void Executor::OnSettled(const EndsSettled& settled) {
+void Executor::OnSettled(const EndsAcknowledged& settled) {
   if (settled.through <= settled_) return;
   settled_ = settled.through;
   LookSoon();
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -86,7 +86,7 @@
   Register("life-1");
   Attach(1);
   now_ += milliseconds(10);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 1});
   ASSERT_THAT(looks_, SizeIs(2));
   executor_->OnLinkDown(kLink);
   AnswerLastLook({}, {{2, kRun, RunEndKind::kDone, ""}});
@@ -122,7 +122,7 @@
   EXPECT_GE(Sent<RunReports>().size(), 4);
   EXPECT_LE(Sent<RunReports>().size(), 6);
   EXPECT_EQ(Sent<RunReports>().back().ended.size(), 1);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 1});
   sent_.clear();
   list_for(milliseconds(2000));  // The runner is slow to forget it.
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -216,8 +216,8 @@
   Register("life-1");
   Attach(1);
   AnswerLook();
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 4});
-  executor_->OnMessage(kLink, EndsSettled{1, "another life", 9});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 4});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "another life", 9});
   AnswerLook();
   EXPECT_EQ(last_look_.settled_through, 0);  // Sent before it was settled.
   AnswerLook();
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -90,7 +90,7 @@
       }
     } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
       stopped_.insert(stops->runs.begin(), stops->runs.end());
-    } else if (const auto* settled = std::get_if<EndsSettled>(&message)) {
+    } else if (const auto* settled = std::get_if<EndsAcknowledged>(&message)) {
       settled_ = std::max(settled_, settled->through);
     }
   }
