--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -280,7 +280,7 @@
 };
 
 // Owner to scheduler: it knows of the workflow, or of its cancellation.
-struct NoticeTaken {
+struct NoticeAcknowledged {
   std::string workflow;
 
   template <typename S>
@@ -386,7 +386,7 @@
     std::variant<Attach, RenewLease, StartRuns, StopRuns, EndsAcknowledged,
                  VmHeartbeat, VmStatus, VmInventory, RunReports,
                  SchedulerHeartbeat, ServiceSettingsCopy, WorkflowStored,
-                 CancelStored, NoticeTaken, Question, Answer, HandOver,
+                 CancelStored, NoticeAcknowledged, Question, Answer, HandOver,
                  RunTraitsList, VmPressure, PressureWeights, OwnerAnnounced,
                  RelayedSubmit, RelayedCancel, RelayedResult, PacePolicyNotice>;
 
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -88,7 +88,7 @@
     hooks_.on_settings_copy(copy->version, copy->document);
   } else if (const auto* later = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(later->record);
-  } else if (const auto* taken = std::get_if<NoticeTaken>(&message)) {
+  } else if (const auto* taken = std::get_if<NoticeAcknowledged>(&message)) {
     notices_.erase(taken->workflow);
   } else if (const auto* over = std::get_if<HandOver>(&message)) {
     keeper_->OnHandOver(over->epoch);
@@ -138,11 +138,11 @@
   } else if (const auto* stored = std::get_if<WorkflowStored>(&message)) {
     if (!owner_ || !owner_->loaded()) return;  // Its marker is found.
     owner_->OnWorkflowStored(stored->workflow);
-    send(NoticeTaken{stored->workflow.id});
+    send(NoticeAcknowledged{stored->workflow.id});
   } else if (const auto* cancel = std::get_if<CancelStored>(&message)) {
     if (!owner_ || !owner_->loaded()) return;
     owner_->OnCancelStored(cancel->workflow);
-    send(NoticeTaken{CancelKey(cancel->workflow)});
+    send(NoticeAcknowledged{CancelKey(cancel->workflow)});
   } else if (const auto* announced = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(announced->record);
   } else if (const auto* submit = std::get_if<RelayedSubmit>(&message)) {
