--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -69,7 +69,7 @@
 }  // namespace
 
 void Dispatcher::NoteLostRunner(const std::string& name, Vm& vm,
-                                const PastLife& lost, TimePoint now) {
+                                const PastIncarnation& lost, TimePoint now) {
   if (vm.lost_life != lost.life) {
     vm.lost_life = lost.life;
     vm.lost_at = now;
--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -160,7 +160,7 @@
 inline constexpr Duration kCrashWindow = std::chrono::seconds(1);
 
 // A life of a runner that is over, as its executor last saw it.
-struct PastLife {
+struct PastIncarnation {
   std::string life;
   bool announced = false;     // It had said that it leaves.
   std::vector<RunEnd> ended;  // Listed and not settled.
@@ -182,7 +182,7 @@
   std::vector<RunRef> pending;  // Ordered under this epoch, not settled yet.
   std::vector<RunEnd> ended;
   // Those that ended of late, the newest last, whoever was told of them.
-  std::vector<PastLife> past_lives;
+  std::vector<PastIncarnation> past_lives;
 
   template <typename S>
   static auto Fields(S& s) {
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -227,11 +227,11 @@
   }
   state.unknown_tries = 0;
   state.told.clear();  // Its executor may be another.
-  for (const PastLife& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_lives) {
     ApplyPastEnds(vm, state, past, now);
   }
   TakeInventoryStatus(vm, state, inventory.status, now);
-  for (const PastLife& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_lives) {
     if (!past.announced) NoteLostRunner(vm, state, past, now);
   }
   state.answered = true;
@@ -324,7 +324,7 @@
 // Only ends that say something of the task: a checkpoint of an earlier life may
 // be older than what is known by now.
 void Dispatcher::ApplyPastEnds(const std::string& name, Vm& vm,
-                               const PastLife& past, TimePoint now) {
+                               const PastIncarnation& past, TimePoint now) {
   for (const RunEnd& end : past.ended) {
     if (end.kind != RunEndKind::kDone && end.kind != RunEndKind::kFailed) {
       continue;
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -234,8 +234,8 @@
                       TimePoint now);
   // Takes in ends that an earlier life of the runner had listed, when its work
   // is not let go yet; they may be told more than once.
-  void ApplyPastEnds(const std::string& name, Vm& vm, const PastLife& past,
-                     TimePoint now);
+  void ApplyPastEnds(const std::string& name, Vm& vm,
+                     const PastIncarnation& past, TimePoint now);
   // Returns whether anything that is stored has changed.
   bool TakeEnd(Vm& vm, const RunEnd& end, TimePoint now);
   void ApplyNotBegun(const std::string& name, Vm& vm,
@@ -362,8 +362,8 @@
   // In dispatch_crashes.cc.
   // Counts the runner's loss against the tasks that had just begun there, and
   // clears the others.
-  void NoteLostRunner(const std::string& name, Vm& vm, const PastLife& lost,
-                      TimePoint now);
+  void NoteLostRunner(const std::string& name, Vm& vm,
+                      const PastIncarnation& lost, TimePoint now);
   // The VM's executor is there, but its runner has been silent until the lease
   // was over: counts that against what had just begun, until more is known.
   void SuspectUnansweredFor(const std::string& name, const Vm& vm,
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -66,7 +66,7 @@
 void Executor::KeepPastLife() {
   if (status_.life.empty()) return;
   const TimePoint now = hooks_.now();
-  PastLife past = life_record_.Describe(status_.life, IsLeaving());
+  PastIncarnation past = life_record_.Describe(status_.life, IsLeaving());
   if (!past_lives_.empty() && past_lives_.back().second.life == past.life) {
     // Given up as silent before; it may have answered and begun more since.
     const bool same = past_lives_.back().second.just_begun == past.just_begun;
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -311,7 +311,7 @@
   CallLane<PendingPace> pace_lane_;
   LifeRecord life_record_;
   // Lives that ended of late, the newest last, and when each did.
-  std::deque<std::pair<TimePoint, PastLife>> past_lives_;
+  std::deque<std::pair<TimePoint, PastIncarnation>> past_lives_;
   std::map<RunRef, Paced> paced_;
   Pacer pacer_;
   PacePolicy pace_policy_ = PacePolicy::kCautious;
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -100,7 +100,7 @@
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   ASSERT_THAT(Sent<VmInventory>()[0].past_lives, SizeIs(1));
-  const PastLife lost = Sent<VmInventory>()[0].past_lives[0];
+  const PastIncarnation lost = Sent<VmInventory>()[0].past_lives[0];
   EXPECT_EQ(lost.life, "life-1");
   EXPECT_THAT(lost.just_begun, testing::ElementsAre(Run(1)));
   EXPECT_THAT(lost.others, testing::ElementsAre(Run(0)));
--- a/beamhill/executor/life_record.cc
+++ b/beamhill/executor/life_record.cc
@@ -25,8 +25,9 @@
   last_view_ = std::move(view);
 }
 
-PastLife LifeRecord::Describe(const std::string& life, bool announced) const {
-  PastLife past;
+PastIncarnation LifeRecord::Describe(const std::string& life,
+                                     bool announced) const {
+  PastIncarnation past;
   past.life = life;
   past.announced = announced;
   past.ended = last_view_.ended;
--- a/beamhill/executor/life_record.h
+++ b/beamhill/executor/life_record.h
@@ -8,7 +8,7 @@
 //   LifeRecord record;
 //   record.OnAsked(run, now);         // A start is asked of the runner.
 //   record.OnView(view, asked_at);    // The runner has answered a look.
-//   PastLife past = record.Describe("life-1", /*announced=*/false);
+//   PastIncarnation past = record.Describe("life-1", /*announced=*/false);
 #ifndef BEAMHILL_EXECUTOR_LIFE_RECORD_H_
 #define BEAMHILL_EXECUTOR_LIFE_RECORD_H_
 
@@ -34,7 +34,7 @@
   void OnView(RunnerView view, TimePoint sent_at);
 
   // `announced`: the runner had said that it leaves.
-  PastLife Describe(const std::string& life, bool announced) const;
+  PastIncarnation Describe(const std::string& life, bool announced) const;
 
  private:
   std::map<RunRef, TimePoint> asked_;  // Within kCrashWindow.
