--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -182,12 +182,12 @@
   std::vector<RunRef> pending;  // Ordered under this epoch, not settled yet.
   std::vector<RunEnd> ended;
   // Those that ended of late, the newest last, whoever was told of them.
-  std::vector<PastIncarnation> past_lives;
+  std::vector<PastIncarnation> past_incarnations;
 
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.epoch, s.status, s.running, s.pending, s.ended,
-                    s.past_lives);
+                    s.past_incarnations);
   }
 };
 
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -227,11 +227,11 @@
   }
   state.unknown_tries = 0;
   state.told.clear();  // Its executor may be another.
-  for (const PastIncarnation& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_incarnations) {
     ApplyPastEnds(vm, state, past, now);
   }
   TakeInventoryStatus(vm, state, inventory.status, now);
-  for (const PastIncarnation& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_incarnations) {
     if (!past.announced) NoteLostRunner(vm, state, past, now);
   }
   state.answered = true;
--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -158,7 +158,7 @@
 
 void Executor::AddPastLives(VmInventory& inventory) const {
   for (const auto& [at, past] : past_lives_) {
-    inventory.past_lives.push_back(past);
+    inventory.past_incarnations.push_back(past);
   }
 }
 
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -99,8 +99,8 @@
   sent_.clear();
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
-  ASSERT_THAT(Sent<VmInventory>()[0].past_lives, SizeIs(1));
-  const PastIncarnation lost = Sent<VmInventory>()[0].past_lives[0];
+  ASSERT_THAT(Sent<VmInventory>()[0].past_incarnations, SizeIs(1));
+  const PastIncarnation lost = Sent<VmInventory>()[0].past_incarnations[0];
   EXPECT_EQ(lost.life, "life-1");
   EXPECT_THAT(lost.just_begun, testing::ElementsAre(Run(1)));
   EXPECT_THAT(lost.others, testing::ElementsAre(Run(0)));
@@ -109,7 +109,7 @@
   sent_.clear();
   Attach(3);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
-  EXPECT_THAT(Sent<VmInventory>()[0].past_lives, IsEmpty());
+  EXPECT_THAT(Sent<VmInventory>()[0].past_incarnations, IsEmpty());
 }
 
 // Its work is let go then, and begins anew elsewhere.
@@ -122,8 +122,8 @@
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
   Pass(milliseconds(200));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(2));
-  ASSERT_THAT(Sent<VmInventory>()[1].past_lives, SizeIs(1));
-  EXPECT_THAT(Sent<VmInventory>()[1].past_lives[0].just_begun,
+  ASSERT_THAT(Sent<VmInventory>()[1].past_incarnations, SizeIs(1));
+  EXPECT_THAT(Sent<VmInventory>()[1].past_incarnations[0].just_begun,
               testing::ElementsAre(Run(0)));
   Register("life-2");
   EXPECT_EQ(executor_->counts().runners_lost, 1);
@@ -189,8 +189,8 @@
   sent_.clear();
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
-  ASSERT_THAT(Sent<VmInventory>()[0].past_lives, SizeIs(1));
-  EXPECT_THAT(Sent<VmInventory>()[0].past_lives[0].just_begun,
+  ASSERT_THAT(Sent<VmInventory>()[0].past_incarnations, SizeIs(1));
+  EXPECT_THAT(Sent<VmInventory>()[0].past_incarnations[0].just_begun,
               testing::ElementsAre(Run(1)));
 }
 
