--- a/beamhill/dispatch/life_name.cc
+++ b/beamhill/dispatch/life_name.cc
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-std::string LifeName(std::string_view runner,
-                     std::optional<UnixMillis> started) {
+std::string IncarnationName(std::string_view runner,
+                            std::optional<UnixMillis> started) {
   std::string name(runner);
   if (started) name += kSeparator + std::to_string(started->count());
   return name;
--- a/beamhill/dispatch/life_name.h
+++ b/beamhill/dispatch/life_name.h
@@ -4,8 +4,9 @@
 // before then. So a life is named by the id and the moment of its start, where
 // the runner tells it; processes pass the name on and compare it as a whole.
 //
-//   LifeName("i-7f3a", UnixMillis(1764745200000));  // "i-7f3a/1764745200000"
-//   RunnerOf("i-7f3a/1764745200000");               // "i-7f3a"
+//   IncarnationName("i-7f3a", UnixMillis(1764745200000));  //
+//   "i-7f3a/1764745200000" RunnerOf("i-7f3a/1764745200000");               //
+//   "i-7f3a"
 #ifndef BEAMHILL_DISPATCH_LIFE_NAME_H_
 #define BEAMHILL_DISPATCH_LIFE_NAME_H_
 
@@ -18,8 +19,8 @@
 namespace beamhill {
 
 // The id, which holds no slash, stands alone where no start is told.
-std::string LifeName(std::string_view runner,
-                     std::optional<UnixMillis> started);
+std::string IncarnationName(std::string_view runner,
+                            std::optional<UnixMillis> started);
 // The id of the runner whose life it is.
 std::string RunnerOf(std::string_view life);
 // Whether both may name one life: executors of an earlier version leave out the
--- a/beamhill/dispatch/life_name_test.cc
+++ b/beamhill/dispatch/life_name_test.cc
@@ -6,8 +6,8 @@
 namespace {
 
 TEST(LifeNameTest, TellsStartsOfOneRunnerApart) {
-  const std::string first = LifeName("i-1", UnixMillis(5));
-  const std::string second = LifeName("i-1", UnixMillis(6));
+  const std::string first = IncarnationName("i-1", UnixMillis(5));
+  const std::string second = IncarnationName("i-1", UnixMillis(6));
   EXPECT_NE(first, second);
   EXPECT_FALSE(MayBeSameLife(first, second));
   EXPECT_EQ(RunnerOf(first), "i-1");
@@ -15,10 +15,10 @@
 }
 
 TEST(LifeNameTest, NameWithoutAStartMayBeAnyLifeOfItsRunner) {
-  EXPECT_EQ(LifeName("i-1", std::nullopt), "i-1");
+  EXPECT_EQ(IncarnationName("i-1", std::nullopt), "i-1");
   EXPECT_EQ(RunnerOf("i-1"), "i-1");
-  EXPECT_TRUE(MayBeSameLife("i-1", LifeName("i-1", UnixMillis(5))));
-  EXPECT_FALSE(MayBeSameLife("i-1", LifeName("i-2", UnixMillis(5))));
+  EXPECT_TRUE(MayBeSameLife("i-1", IncarnationName("i-1", UnixMillis(5))));
+  EXPECT_FALSE(MayBeSameLife("i-1", IncarnationName("i-2", UnixMillis(5))));
   EXPECT_FALSE(MayBeSameLife("", "i-1"));
 }
 
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -15,7 +15,7 @@
                                CrashingRunnerHooks hooks)
     : time_(time), options_(std::move(options)), hooks_(std::move(hooks)) {}
 
-std::string CrashingRunner::LifeName() const {
+std::string CrashingRunner::IncarnationName() const {
   return options_.name + "-life-" + std::to_string(life_);
 }
 
@@ -28,7 +28,7 @@
   up_ = true;
   ++life_;
   VmStatus status;
-  status.life = LifeName();
+  status.life = IncarnationName();
   status.service = "web";
   status.capacity = options_.size;
   hooks_.on_up(status);
@@ -61,7 +61,7 @@
                           act = std::move(act)] {
     if (!up_ || life_ != asked) {
       done({RunnerVerdict::kNoAnswer, std::nullopt});
-    } else if (life != LifeName()) {
+    } else if (life != IncarnationName()) {
       done(Reply(RunnerVerdict::kOtherLife));
     } else {
       done(Reply(act()));
@@ -127,7 +127,7 @@
 
 void CrashingRunner::Look(const RunnerLook& call,
                           const std::function<void(RunnerView)>& done) {
-  if (!up_ || call.life != LifeName()) {
+  if (!up_ || call.life != IncarnationName()) {
     RunnerView view;
     view.reply.verdict =
         up_ ? RunnerVerdict::kOtherLife : RunnerVerdict::kUnreachable;
--- a/beamhill/replay/crashing_runner.h
+++ b/beamhill/replay/crashing_runner.h
@@ -67,7 +67,7 @@
     std::function<void(RunnerView)> done;
   };
 
-  std::string LifeName() const;
+  std::string IncarnationName() const;
   RunnerReply Reply(RunnerVerdict verdict) const;
   // Carries out a call of that life a moment later, if the runner still lives
   // then.
