--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -189,7 +189,7 @@
   if (status.life != vm.status.life) {
     // Another life of the runner: all that the earlier one ran is gone. Where
     // it can't be told whether it is another, stops settle what is not there.
-    if (!MayBeSameLife(status.life, vm.status.life)) {
+    if (!MayBeSameIncarnation(status.life, vm.status.life)) {
       LetGoAll(name, vm,
                status.life.empty() ? "runner gone" : "runner replaced", now);
     }
--- a/beamhill/dispatch/life_name.cc
+++ b/beamhill/dispatch/life_name.cc
@@ -22,7 +22,7 @@
   return std::string(life.substr(0, life.find(kSeparator)));
 }
 
-bool MayBeSameLife(std::string_view a, std::string_view b) {
+bool MayBeSameIncarnation(std::string_view a, std::string_view b) {
   if (a == b) return true;
   if (TellsStart(a) && TellsStart(b)) return false;
   return !a.empty() && RunnerOf(a) == RunnerOf(b);
--- a/beamhill/dispatch/life_name.h
+++ b/beamhill/dispatch/life_name.h
@@ -25,7 +25,7 @@
 std::string RunnerOf(std::string_view life);
 // Whether both may name one life: executors of an earlier version leave out the
 // moment of the start.
-bool MayBeSameLife(std::string_view a, std::string_view b);
+bool MayBeSameIncarnation(std::string_view a, std::string_view b);
 
 }  // namespace beamhill
 
--- a/beamhill/dispatch/life_name_test.cc
+++ b/beamhill/dispatch/life_name_test.cc
@@ -9,7 +9,7 @@
   const std::string first = IncarnationName("i-1", UnixMillis(5));
   const std::string second = IncarnationName("i-1", UnixMillis(6));
   EXPECT_NE(first, second);
-  EXPECT_FALSE(MayBeSameLife(first, second));
+  EXPECT_FALSE(MayBeSameIncarnation(first, second));
   EXPECT_EQ(RunnerOf(first), "i-1");
   EXPECT_EQ(RunnerOf(second), "i-1");
 }
@@ -17,9 +17,11 @@
 TEST(LifeNameTest, NameWithoutAStartMayBeAnyLifeOfItsRunner) {
   EXPECT_EQ(IncarnationName("i-1", std::nullopt), "i-1");
   EXPECT_EQ(RunnerOf("i-1"), "i-1");
-  EXPECT_TRUE(MayBeSameLife("i-1", IncarnationName("i-1", UnixMillis(5))));
-  EXPECT_FALSE(MayBeSameLife("i-1", IncarnationName("i-2", UnixMillis(5))));
-  EXPECT_FALSE(MayBeSameLife("", "i-1"));
+  EXPECT_TRUE(
+      MayBeSameIncarnation("i-1", IncarnationName("i-1", UnixMillis(5))));
+  EXPECT_FALSE(
+      MayBeSameIncarnation("i-1", IncarnationName("i-2", UnixMillis(5))));
+  EXPECT_FALSE(MayBeSameIncarnation("", "i-1"));
 }
 
 }  // namespace
