--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -387,7 +387,7 @@
                  VmHeartbeat, VmStatus, VmInventory, RunReports,
                  SchedulerHeartbeat, ServiceSettingsCopy, WorkflowStored,
                  CancelStored, NoticeAcknowledged, Question, Answer, HandOver,
-                 RunTraitsList, VmPressure, PressureWeights, OwnerAnnounced,
+                 RunTraitsList, VmInterference, PressureWeights, OwnerAnnounced,
                  RelayedSubmit, RelayedCancel, RelayedResult, PacePolicyNotice>;
 
 // The row by which a VM's executor makes itself known.
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -38,7 +38,8 @@
 
 }  // namespace
 
-void Dispatcher::OnPressure(const std::string& vm, const VmPressure& pressure) {
+void Dispatcher::OnPressure(const std::string& vm,
+                            const VmInterference& pressure) {
   Vm& state = vms_[vm];
   const int64_t whole = state.status.capacity.cpu_millis;
   if (pressure.epoch != options_.epoch || whole <= 0) return;
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -94,7 +94,7 @@
   bool OnInventory(const std::string& vm, const VmInventory& inventory,
                    TimePoint now);
   // Teaches which filling image disturbs which serving one.
-  void OnPressure(const std::string& vm, const VmPressure& pressure);
+  void OnPressure(const std::string& vm, const VmInterference& pressure);
   void OnReports(const std::string& vm, const RunReports& reports,
                  TimePoint now);
 
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -53,8 +53,8 @@
   return workflow;
 }
 
-VmPressure PressureOf(int64_t vm) {
-  VmPressure pressure;
+VmInterference PressureOf(int64_t vm) {
+  VmInterference pressure;
   pressure.epoch = 1;
   pressure.serving.push_back(
       {NameOf("service-", vm % kServingImages), std::chrono::milliseconds(10)});
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -79,7 +79,7 @@
 };
 
 // Executor to owner: who was disturbed beside whom.
-struct VmPressure {
+struct VmInterference {
   uint64_t epoch = 0;
   std::vector<ServingTail> serving;
   std::vector<FillingLoad> filling;
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -213,7 +213,7 @@
   for (const ServingSample& sample : serving) {
     tails[sample.image] = std::max(tails[sample.image], sample.tail);
   }
-  VmPressure pressure;
+  VmInterference pressure;
   pressure.epoch = epoch_;
   for (const auto& [image, tail] : tails) {
     pressure.serving.push_back({image, tail});
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -154,8 +154,8 @@
 // The owner places no filler of an image where it was last held back.
 TEST_F(ExecutorReportsTest, PressureOfTasksThatAreGoneIsTakenBackOnEachLink) {
   FillBesideASufferingService();
-  ASSERT_THAT(Sent<VmPressure>(), Not(IsEmpty()));
-  EXPECT_LT(Sent<VmPressure>().back().filling[0].percent, 100);
+  ASSERT_THAT(Sent<VmInterference>(), Not(IsEmpty()));
+  EXPECT_LT(Sent<VmInterference>().back().filling[0].percent, 100);
   const auto list_nothing_for = [this](Duration time) {
     const TimePoint until = now_ + time;
     while (now_ < until) {
@@ -165,14 +165,14 @@
   };
   sent_.clear();
   list_nothing_for(seconds(2));
-  ASSERT_THAT(Sent<VmPressure>(), SizeIs(1));
-  EXPECT_THAT(Sent<VmPressure>()[0].filling, IsEmpty());
+  ASSERT_THAT(Sent<VmInterference>(), SizeIs(1));
+  EXPECT_THAT(Sent<VmInterference>()[0].filling, IsEmpty());
   executor_->OnLinkDown(kLink);
   list_nothing_for(seconds(1));
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
   sent_.clear();
   list_nothing_for(seconds(2));
-  EXPECT_THAT(Sent<VmPressure>(), SizeIs(1));
+  EXPECT_THAT(Sent<VmInterference>(), SizeIs(1));
 }
 
 }  // namespace
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -374,7 +374,7 @@
   ASSERT_FALSE(paces_.empty());
   EXPECT_EQ(paces_[0].first.run, kRun);
   EXPECT_LT(paces_[0].first.percent, 100);
-  EXPECT_FALSE(Sent<VmPressure>().empty());
+  EXPECT_FALSE(Sent<VmInterference>().empty());
 }
 
 // It may work at full speed: an order that was lost is given again, however
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -194,7 +194,7 @@
       Flush();
       return;
     }
-    if (const auto* pressure = std::get_if<VmPressure>(&message)) {
+    if (const auto* pressure = std::get_if<VmInterference>(&message)) {
       Timed("pressure", [&] { owner_->OnPressure(name, *pressure); });
       return;
     }
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -124,7 +124,7 @@
     dispatcher_->OnStatus(vm, *status, now);
   } else if (const auto* reports = std::get_if<RunReports>(&message)) {
     dispatcher_->OnReports(vm, *reports, now);
-  } else if (const auto* pressure = std::get_if<VmPressure>(&message)) {
+  } else if (const auto* pressure = std::get_if<VmInterference>(&message)) {
     dispatcher_->OnPressure(vm, *pressure);
     return;
   } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
