--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -387,8 +387,9 @@
                  VmHeartbeat, VmStatus, VmInventory, RunReports,
                  SchedulerHeartbeat, ServiceSettingsCopy, WorkflowStored,
                  CancelStored, NoticeAcknowledged, Question, Answer, HandOver,
-                 RunTraitsList, VmInterference, PressureWeights, OwnerAnnounced,
-                 RelayedSubmit, RelayedCancel, RelayedResult, PacePolicyNotice>;
+                 RunTraitsList, VmInterference, InterferenceWeights,
+                 OwnerAnnounced, RelayedSubmit, RelayedCancel, RelayedResult,
+                 PacePolicyNotice>;
 
 // The row by which a VM's executor makes itself known.
 struct VmRecord {
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -149,7 +149,7 @@
   std::vector<PressureWeight> weights = WeightsOn(vm);
   if (weights.empty() || SameInEffect(weights, vm.told)) return;
   vm.told = weights;
-  Send(name, PressureWeights{options_.epoch, std::move(weights)});
+  Send(name, InterferenceWeights{options_.epoch, std::move(weights)});
 }
 
 void Dispatcher::RefitPressure() {
--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -133,7 +133,7 @@
   dispatcher_->Tick(now_, kUnix);
   const std::vector<VmMessage> sent = dispatcher_->TakeMessages();
   ASSERT_THAT(sent, SizeIs(2));  // What is known comes before the start.
-  const auto* told = std::get_if<PressureWeights>(&sent[0].message);
+  const auto* told = std::get_if<InterferenceWeights>(&sent[0].message);
   ASSERT_NE(told, nullptr);
   EXPECT_EQ(sent[0].vm, calm_vm);
   ASSERT_THAT(told->weights, SizeIs(1));
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -103,7 +103,7 @@
 };
 
 // Owner to executors: what all VMs together have taught.
-struct PressureWeights {
+struct InterferenceWeights {
   uint64_t epoch = 0;
   std::vector<PressureWeight> weights;
 
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -186,7 +186,7 @@
     if (IsCurrent(link, settled->epoch, settled->life)) OnSettled(*settled);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
     if (IsCurrent(link, traits->epoch, traits->life)) OnTraits(*traits);
-  } else if (const auto* learned = std::get_if<PressureWeights>(&message)) {
+  } else if (const auto* learned = std::get_if<InterferenceWeights>(&message)) {
     if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
     if (owner_link_ == link && policy->epoch == epoch_) OnPacePolicy(*policy);
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -243,7 +243,7 @@
 
   // In executor_pacing.cc.
   void OnTraits(const RunTraitsList& list);
-  void OnWeights(const PressureWeights& learned);
+  void OnWeights(const InterferenceWeights& learned);
   void OnPacePolicy(const PacePolicyNotice& notice);
   void Pace(const RunnerView& view, TimePoint sent_at, TimePoint now);
   // Finds fillers that work though they were ordered to rest, or the reverse:
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -236,7 +236,7 @@
   pacer_.set_policy(pace_policy_);
 }
 
-void Executor::OnWeights(const PressureWeights& learned) {
+void Executor::OnWeights(const InterferenceWeights& learned) {
   Pacer::Weights weights;
   for (const PressureWeight& weight : learned.weights) {
     weights[{weight.serving, weight.filling}] = weight.per_vm;
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -155,7 +155,7 @@
     executor_->OnMessage(kLink, Attach{"owner", epoch_});
     executor_->OnMessage(kLink, Renewal());
     executor_->OnMessage(kLink, PacePolicyNotice{epoch_, policy_});
-    PressureWeights wrong{epoch_, {}};
+    InterferenceWeights wrong{epoch_, {}};
     for (int s = 0; s < kServing; ++s) {
       for (int f = 0; f < kFillers; ++f) {
         wrong.weights.push_back(
