--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -14,7 +14,8 @@
 constexpr Duration kWeightSlack = std::chrono::milliseconds(3);
 constexpr int kWeightSlackDivisor = 8;
 
-bool SameInEffect(const PressureWeight& now, const PressureWeight& told) {
+bool SameInEffect(const InterferenceWeight& now,
+                  const InterferenceWeight& told) {
   const Duration slack = std::max(
       kWeightSlack, std::chrono::abs(told.per_vm) / kWeightSlackDivisor);
   return now.serving == told.serving && now.filling == told.filling &&
@@ -23,11 +24,11 @@
 
 // Whether an executor that was told the one need not be told the other. Both
 // are in the order of their images; pairs that have gone don't matter.
-bool SameInEffect(const std::vector<PressureWeight>& now,
-                  const std::vector<PressureWeight>& told) {
+bool SameInEffect(const std::vector<InterferenceWeight>& now,
+                  const std::vector<InterferenceWeight>& told) {
   auto it = told.begin();
-  for (const PressureWeight& weight : now) {
-    const auto same = [&](const PressureWeight& t) {
+  for (const InterferenceWeight& weight : now) {
+    const auto same = [&](const InterferenceWeight& t) {
       return t.serving == weight.serving && t.filling == weight.filling;
     };
     it = std::find_if(it, told.end(), same);
@@ -77,7 +78,7 @@
 void Dispatcher::RecallPressure(const PressureRecord& record) {
   for (const PressureRecord::Image& image : record.images) {
     PairwiseInterference::Summary summary{image.serving, image.alone, {}};
-    for (const PressureWeight& weight : image.weights) {
+    for (const InterferenceWeight& weight : image.weights) {
       summary.weights.push_back(
           {weight.serving, weight.filling, weight.per_vm});
     }
@@ -133,8 +134,8 @@
   }
 }
 
-std::vector<PressureWeight> Dispatcher::WeightsOn(const Vm& vm) const {
-  std::vector<PressureWeight> weights;
+std::vector<InterferenceWeight> Dispatcher::WeightsOn(const Vm& vm) const {
+  std::vector<InterferenceWeight> weights;
   for (const auto& [serving, runs] : vm.serving) {
     for (const auto& [filling, cpu] : vm.filling) {
       const auto weight = interference_.WeightOf(serving, filling);
@@ -146,7 +147,7 @@
 
 void Dispatcher::SendWeightsTo(const std::string& name, Vm& vm) {
   vm.new_image = false;
-  std::vector<PressureWeight> weights = WeightsOn(vm);
+  std::vector<InterferenceWeight> weights = WeightsOn(vm);
   if (weights.empty() || SameInEffect(weights, vm.told)) return;
   vm.told = weights;
   Send(name, InterferenceWeights{options_.epoch, std::move(weights)});
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-std::vector<PressureWeight> Dispatcher::TakeNews(size_t limit) {
-  std::vector<std::pair<Duration, PressureWeight>> news;
+std::vector<InterferenceWeight> Dispatcher::TakeNews(size_t limit) {
+  std::vector<std::pair<Duration, InterferenceWeight>> news;
   for (const auto& weight : interference_.Weights()) {
     const auto told = logged_weights_.find({weight.serving, weight.filler});
     const Duration before =
@@ -29,9 +29,9 @@
   std::sort(news.begin(), news.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
   if (news.size() > limit) news.resize(limit);
-  std::vector<PressureWeight> taken;
+  std::vector<InterferenceWeight> taken;
   for (auto& entry : news) {
-    const PressureWeight& weight = entry.second;
+    const InterferenceWeight& weight = entry.second;
     logged_weights_[{weight.serving, weight.filling}] = weight.per_vm;
     taken.push_back(weight);
   }
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -128,7 +128,7 @@
 
   // Pairs whose weight has changed since they were last taken, for the log: the
   // first so many of those that moved most.
-  std::vector<PressureWeight> TakeNews(size_t limit);
+  std::vector<InterferenceWeight> TakeNews(size_t limit);
 
   // Lets lapsed work go and starts what can start. Lines about runs go to the
   // hook some times a second.
@@ -271,7 +271,7 @@
   // What the waiting tasks that fill ask for, of steps that may start.
   double WaitingFillerCores(UnixMillis unix_now) const;
   // What is known of each pair of a serving and a filling image there.
-  std::vector<PressureWeight> WeightsOn(const Vm& vm) const;
+  std::vector<InterferenceWeight> WeightsOn(const Vm& vm) const;
   void SendWeightsTo(const std::string& name, Vm& vm);
 
   // In dispatch_fillers.cc.
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -164,7 +164,7 @@
   mutable uint64_t ratios_version = 0;  // Of what was learned.
   // What its executor was told of pressure, and whether an image has come
   // since of which it may know nothing.
-  std::vector<PressureWeight> told;
+  std::vector<InterferenceWeight> told;
   bool new_image = false;
 };
 
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -91,7 +91,7 @@
 };
 
 // What a filling image that had a whole VM would add to a serving one's tail.
-struct PressureWeight {
+struct InterferenceWeight {
   std::string serving;
   std::string filling;
   Duration per_vm{};
@@ -105,7 +105,7 @@
 // Owner to executors: what all VMs together have taught.
 struct InterferenceWeights {
   uint64_t epoch = 0;
-  std::vector<PressureWeight> weights;
+  std::vector<InterferenceWeight> weights;
 
   template <typename S>
   static auto Fields(S& s) {
@@ -141,7 +141,7 @@
   struct Image {
     std::string serving;
     Duration alone{};
-    std::vector<PressureWeight> weights;
+    std::vector<InterferenceWeight> weights;
 
     template <typename S>
     static auto Fields(S& s) {
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -238,7 +238,7 @@
 
 void Executor::OnWeights(const InterferenceWeights& learned) {
   Pacer::Weights weights;
-  for (const PressureWeight& weight : learned.weights) {
+  for (const InterferenceWeight& weight : learned.weights) {
     weights[{weight.serving, weight.filling}] = weight.per_vm;
   }
   pacer_.SetWeights(std::move(weights));
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -50,7 +50,7 @@
 
 void WorkOwner::LogPressureNews() {
   std::string pairs;
-  for (const PressureWeight& weight : dispatcher_->TakeNews(kPairsOfLine)) {
+  for (const InterferenceWeight& weight : dispatcher_->TakeNews(kPairsOfLine)) {
     const auto millis = static_cast<int64_t>(ToMillis(weight.per_vm));
     if (!pairs.empty()) pairs += " ";
     pairs +=
