--- a/beamhill/dispatch/dispatch_messages.cc
+++ b/beamhill/dispatch/dispatch_messages.cc
@@ -72,7 +72,7 @@
   return EncodeAny(record);
 }
 std::string EncodeRecord(const VmRecord& record) { return EncodeAny(record); }
-std::string EncodeRecord(const PressureRecord& record) {
+std::string EncodeRecord(const InterferenceRecord& record) {
   return EncodeAny(record);
 }
 
@@ -90,6 +90,7 @@
 template Result<ProgressRecord> DecodeRecord<ProgressRecord>(std::string_view);
 template Result<OwnerRecord> DecodeRecord<OwnerRecord>(std::string_view);
 template Result<VmRecord> DecodeRecord<VmRecord>(std::string_view);
-template Result<PressureRecord> DecodeRecord<PressureRecord>(std::string_view);
+template Result<InterferenceRecord> DecodeRecord<InterferenceRecord>(
+    std::string_view);
 
 }  // namespace beamhill
--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -410,7 +410,7 @@
 std::string EncodeRecord(const ProgressRecord& record);
 std::string EncodeRecord(const OwnerRecord& record);
 std::string EncodeRecord(const VmRecord& record);
-std::string EncodeRecord(const PressureRecord& record);
+std::string EncodeRecord(const InterferenceRecord& record);
 template <typename Record>
 Result<Record> DecodeRecord(std::string_view bytes);
 
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -63,10 +63,10 @@
   }
 }
 
-PressureRecord Dispatcher::LearnedPressure() const {
-  PressureRecord record;
+InterferenceRecord Dispatcher::LearnedPressure() const {
+  InterferenceRecord record;
   for (const auto& summary : interference_.Summaries()) {
-    PressureRecord::Image image{summary.serving, summary.alone, {}};
+    InterferenceRecord::Image image{summary.serving, summary.alone, {}};
     for (const auto& weight : summary.weights) {
       image.weights.push_back({weight.serving, weight.filler, weight.per_vm});
     }
@@ -75,8 +75,8 @@
   return record;
 }
 
-void Dispatcher::RecallPressure(const PressureRecord& record) {
-  for (const PressureRecord::Image& image : record.images) {
+void Dispatcher::RecallPressure(const InterferenceRecord& record) {
+  for (const InterferenceRecord::Image& image : record.images) {
     PairwiseInterference::Summary summary{image.serving, image.alone, {}};
     for (const InterferenceWeight& weight : image.weights) {
       summary.weights.push_back(
--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -145,7 +145,7 @@
 
 TEST_F(DispatcherPressureTest, NextOwnerRecallsWhatWasLearned) {
   Teach(ServeCalmAndTouchy());
-  const PressureRecord learned = dispatcher_->LearnedPressure();
+  const InterferenceRecord learned = dispatcher_->LearnedPressure();
   const std::string calm_vm = ServeCalmAndTouchy();
   dispatcher_->RecallPressure(learned);
   dispatcher_->AddWorkflow(Filler(), std::nullopt, now_);
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -119,8 +119,8 @@
 
   // What was learned of pressure, to be stored; and what an earlier owner
   // stored.
-  PressureRecord LearnedPressure() const;
-  void RecallPressure(const PressureRecord& record);
+  InterferenceRecord LearnedPressure() const;
+  void RecallPressure(const InterferenceRecord& record);
 
   // Tells VMs what was learned of the images that stand there, as far as they
   // don't know it yet.
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -137,7 +137,7 @@
 };
 
 // The row that keeps what an owner has learned of pressure for the next one.
-struct PressureRecord {
+struct InterferenceRecord {
   struct Image {
     std::string serving;
     Duration alone{};
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -145,7 +145,7 @@
     dispatcher_->Cancel(After(row.key, rows::kCancels), now);
   }
   for (const Row& row : loading.found.at(rows::kLearned)) {
-    const auto learned = DecodeRecord<PressureRecord>(row.value);
+    const auto learned = DecodeRecord<InterferenceRecord>(row.value);
     if (IsOk(learned)) dispatcher_->RecallPressure(ValueOf(learned));
   }
   Log(LogLevel::kInfo, "owner_loaded",
