--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -67,7 +67,7 @@
 };
 
 // The processor time that one filling image used beside it.
-struct FillingLoad {
+struct BestEffortLoad {
   std::string image;
   int64_t cpu_millis = 0;
   int32_t percent = 100;  // The pace that its tasks are held to.
@@ -82,7 +82,7 @@
 struct VmInterference {
   uint64_t epoch = 0;
   std::vector<ServingTail> serving;
-  std::vector<FillingLoad> filling;
+  std::vector<BestEffortLoad> filling;
 
   template <typename S>
   static auto Fields(S& s) {
