--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -58,7 +58,7 @@
   }
   // A runner that is slow after its start lengthens tails by itself.
   if (state.cold) return;
-  for (const ServingTail& serving : pressure.serving) {
+  for (const ServingTailLatency& serving : pressure.serving) {
     interference_.Observe(serving.image, loads, serving.tail);
   }
 }
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -56,7 +56,7 @@
 };
 
 // The tail of one serving image on a VM, over the last half second.
-struct ServingTail {
+struct ServingTailLatency {
   std::string image;
   Duration tail{};
 
@@ -81,7 +81,7 @@
 // Executor to owner: who was disturbed beside whom.
 struct VmInterference {
   uint64_t epoch = 0;
-  std::vector<ServingTail> serving;
+  std::vector<ServingTailLatency> serving;
   std::vector<BestEffortLoad> filling;
 
   template <typename S>
