--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -472,7 +472,7 @@
   TimePoint suspects_cleared_at_{};
   WorkerHealth health_;
   RunTimes run_times_;
-  FillerLoad filler_load_;
+  PacePolicySelector filler_load_;
   PairwiseInterference interference_;
   uint64_t interference_version_ = 1;
   // By serving and filling image: what the log was told last.
--- a/beamhill/dispatch/filler_load.cc
+++ b/beamhill/dispatch/filler_load.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void FillerLoad::Observe(double asked_cores, double free_cores) {
+void PacePolicySelector::Observe(double asked_cores, double free_cores) {
   const double ratio = asked_cores / std::max(free_cores, kLeastFreeCores);
   ratio_ += kSmoothing * (ratio - ratio_);
   if (ratio_ > kPressedAbove) policy_ = PacePolicy::kGuarded;
--- a/beamhill/dispatch/filler_load.h
+++ b/beamhill/dispatch/filler_load.h
@@ -10,7 +10,7 @@
 //
 // Pure.
 //
-//   FillerLoad load;
+//   PacePolicySelector load;
 //   load.Observe(asked_cores, free_cores);
 //   if (load.policy() == PacePolicy::kGuarded) ...
 #ifndef BEAMHILL_DISPATCH_FILLER_LOAD_H_
@@ -20,7 +20,7 @@
 
 namespace beamhill {
 
-class FillerLoad {
+class PacePolicySelector {
  public:
   // What the tasks that fill ask for, running and waiting, and what the others
   // leave of the processors; in cores. To be called at even intervals.
--- a/beamhill/dispatch/filler_load_test.cc
+++ b/beamhill/dispatch/filler_load_test.cc
@@ -6,26 +6,26 @@
 namespace {
 
 TEST(FillerLoadTest, HoldsBackWhileAllFits) {
-  FillerLoad load;
+  PacePolicySelector load;
   for (int i = 0; i < 20; ++i) load.Observe(90, 100);
   EXPECT_EQ(load.policy(), PacePolicy::kCautious);
 }
 
 TEST(FillerLoadTest, TurnsWithinTwoSecondsOfABacklog) {
-  FillerLoad load;
+  PacePolicySelector load;
   for (int i = 0; i < 4; ++i) load.Observe(200, 100);
   EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
 }
 
 TEST(FillerLoadTest, OneWideStepThatStartsAtOnceChangesNothing) {
-  FillerLoad load;
+  PacePolicySelector load;
   for (int i = 0; i < 20; ++i) load.Observe(50, 100);
   load.Observe(200, 100);
   EXPECT_EQ(load.policy(), PacePolicy::kCautious);
 }
 
 TEST(FillerLoadTest, HoldsBackAgainOnceTheBacklogIsWorkedOff) {
-  FillerLoad load;
+  PacePolicySelector load;
   for (int i = 0; i < 10; ++i) load.Observe(200, 100);
   for (int i = 0; i < 10; ++i) load.Observe(100, 100);
   EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
@@ -34,7 +34,7 @@
 }
 
 TEST(FillerLoadTest, NoRoomAtAllIsABacklog) {
-  FillerLoad load;
+  PacePolicySelector load;
   for (int i = 0; i < 4; ++i) load.Observe(20, -5);
   EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
 }
