--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -471,7 +471,7 @@
   std::set<TaskRef> suspects_;
   TimePoint suspects_cleared_at_{};
   WorkerHealth health_;
-  RunTimes run_times_;
+  RunTimeEstimator run_times_;
   PacePolicySelector filler_load_;
   PairwiseInterference interference_;
   uint64_t interference_version_ = 1;
--- a/beamhill/dispatch/run_times.cc
+++ b/beamhill/dispatch/run_times.cc
@@ -21,14 +21,14 @@
 
 }  // namespace
 
-void RunTimes::Spread::Add(double value, double weight) {
+void RunTimeEstimator::Spread::Add(double value, double weight) {
   const double moved = value - mean;
   mean += weight * moved;
   variance = (1 - weight) * (variance + weight * moved * moved);
 }
 
-void RunTimes::Observe(const std::string& queue, Duration declared,
-                       Duration measured) {
+void RunTimeEstimator::Observe(const std::string& queue, Duration declared,
+                               Duration measured) {
   if (declared <= Duration(0) || measured <= Duration(0)) return;
   Queue& known = queues_[queue];
   ++known.steps;
@@ -37,7 +37,8 @@
   known.off.Add(LogSeconds(declared) - LogSeconds(measured), weight);
 }
 
-Duration RunTimes::Expect(const std::string& queue, Duration declared) const {
+Duration RunTimeEstimator::Expect(const std::string& queue,
+                                  Duration declared) const {
   const auto it = queues_.find(queue);
   if (it == queues_.end() || it->second.steps < kEnoughSteps ||
       declared <= Duration(0)) {
--- a/beamhill/dispatch/run_times.h
+++ b/beamhill/dispatch/run_times.h
@@ -8,7 +8,7 @@
 //
 // Pure. One observation for each step that is done, however wide it was.
 //
-//   RunTimes times;
+//   RunTimeEstimator times;
 //   times.Observe("batch", declared, measured);
 //   Duration run = times.Expect("batch", declared);
 #ifndef BEAMHILL_DISPATCH_RUN_TIMES_H_
@@ -21,7 +21,7 @@
 
 namespace beamhill {
 
-class RunTimes {
+class RunTimeEstimator {
  public:
   // A step of the queue was declared to take so long a task, and took so long.
   void Observe(const std::string& queue, Duration declared, Duration measured);
--- a/beamhill/dispatch/run_times_test.cc
+++ b/beamhill/dispatch/run_times_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 
 TEST(RunTimesTest, GuessesCountUntilEnoughIsKnown) {
-  RunTimes times;
+  RunTimeEstimator times;
   EXPECT_EQ(times.Expect("q", milliseconds(700)), milliseconds(700));
   times.Observe("q", milliseconds(700), milliseconds(2000));
   EXPECT_EQ(times.Expect("q", milliseconds(700)), milliseconds(700));
@@ -20,7 +20,7 @@
 }
 
 TEST(RunTimesTest, QueuesThatGuessTooLowAreCorrected) {
-  RunTimes times;
+  RunTimeEstimator times;
   for (int i = 1; i <= 60; ++i) {
     times.Observe("q", milliseconds(50 * i), milliseconds(100 * i));
   }
@@ -33,7 +33,7 @@
 TEST(RunTimesTest, ExpectationsAreCloserThanRoughGuesses) {
   std::mt19937_64 random(1);
   std::normal_distribution<double> spread(0, 0.5);
-  RunTimes times;
+  RunTimeEstimator times;
   double off_guess = 0;
   double off_expected = 0;
   for (int i = 0; i < 400; ++i) {
