--- a/beamhill/halls/evacuations.cc
+++ b/beamhill/halls/evacuations.cc
@@ -13,11 +13,11 @@
   return version > other.version;
 }
 
-void EvacuationBoard::OnCurrent(uint64_t version) {
+void EvacuationTracker::OnCurrent(uint64_t version) {
   OnCopy({true, version, {requested_.begin(), requested_.end()}});
 }
 
-void EvacuationBoard::OnCopy(const Evacuations& copy) {
+void EvacuationTracker::OnCopy(const Evacuations& copy) {
   if (copy.IsNewerThan(newest_)) newest_ = copy;
 }
 
--- a/beamhill/halls/evacuations.h
+++ b/beamhill/halls/evacuations.h
@@ -4,7 +4,7 @@
 // Each scheduler reads the operators' table itself, and gets copies from its
 // peers in case the table turns it away; what holds is the newest.
 //
-//   EvacuationBoard board;
+//   EvacuationTracker board;
 //   board.OnRequested("north");       // A row of the operators' table ...
 //   board.OnWithdrawn("south");
 //   board.OnCurrent(41);              // ... which is read up to this version.
@@ -36,7 +36,7 @@
   }
 };
 
-class EvacuationBoard {
+class EvacuationTracker {
  public:
   // A request was read in the table, or its withdrawal. Counts from the next
   // OnCurrent on.
--- a/beamhill/halls/evacuations_test.cc
+++ b/beamhill/halls/evacuations_test.cc
@@ -10,7 +10,7 @@
 using testing::IsEmpty;
 
 TEST(EvacuationBoardTest, NothingIsKnownBeforeTheTableIsRead) {
-  EvacuationBoard board;
+  EvacuationTracker board;
   board.OnRequested("north");
   EXPECT_FALSE(board.newest().known);
   board.OnCurrent(0);
@@ -20,7 +20,7 @@
 }
 
 TEST(EvacuationBoardTest, WithdrawnAndRequestedAgain) {
-  EvacuationBoard board;
+  EvacuationTracker board;
   board.OnRequested("north");
   board.OnRequested("east");
   board.OnCurrent(5);
@@ -36,7 +36,7 @@
 
 // Copies from peers come in any order, beside what is read here.
 TEST(EvacuationBoardTest, NewestCopyHolds) {
-  EvacuationBoard board;
+  EvacuationTracker board;
   board.OnCopy({true, 7, {"north"}});
   board.OnCopy({true, 3, {}});
   board.OnCopy({false, 9, {}});
