--- a/beamhill/dispatch/dispatch_halls.cc
+++ b/beamhill/dispatch/dispatch_halls.cc
@@ -30,7 +30,7 @@
 TimePoint Dispatcher::LatestStart(const Vm& vm, TimePoint now) {
   // The stamp was taken before it came, so that the executor's clock is at
   // least this far.
-  return vm.stamp + (now - vm.stamped_at) + kOrderLife;
+  return vm.stamp + (now - vm.stamped_at) + kStartOrderTtl;
 }
 
 void Dispatcher::MoveOutOfHalls(TimePoint now) {
--- a/beamhill/dispatch/dispatch_halls_test.cc
+++ b/beamhill/dispatch/dispatch_halls_test.cc
@@ -154,7 +154,8 @@
   for (const VmMessage& out : dispatcher_->TakeMessages()) {
     const auto* starts = std::get_if<StartRuns>(&out.message);
     if (starts == nullptr) continue;
-    EXPECT_EQ(starts->latest_start, its_now + milliseconds(300) + kOrderLife);
+    EXPECT_EQ(starts->latest_start,
+              its_now + milliseconds(300) + kStartOrderTtl);
     return;
   }
   FAIL() << "nothing was started";
--- a/beamhill/dispatch/dispatch_types.h
+++ b/beamhill/dispatch/dispatch_types.h
@@ -28,7 +28,7 @@
 // gain: with 1.2 s worth was lower by 0.016 on one of three small sites (72
 // pairs of runs, which differ by as much between two runs of one program) and
 // within noise on the others.
-inline constexpr Duration kOrderLife = std::chrono::milliseconds(1900);
+inline constexpr Duration kStartOrderTtl = std::chrono::milliseconds(1900);
 
 // What an owner may do by now.
 enum class Authority : uint8_t {
--- a/beamhill/scheduler/work_owner.h
+++ b/beamhill/scheduler/work_owner.h
@@ -44,7 +44,7 @@
   // upgrade is under way.
   Duration earlier_vm_scan_interval = std::chrono::seconds(15);
   // How often missed notices of submissions and cancellations are: see
-  // kOrderLife.
+  // kStartOrderTtl.
   Duration notice_scan_interval = std::chrono::milliseconds(800);
   // Least time between the beginnings of two transactions.
   Duration commit_interval = std::chrono::milliseconds(40);
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -126,8 +126,9 @@
 TEST_F(WorkOwnerTest, OrderIsOverInTimeForACancellationThatOnlyTheTableTells) {
   constexpr Duration kAllowed = seconds(3);
   constexpr Duration kReadAndSend = milliseconds(300);
-  EXPECT_LE(WorkOwnerOptions{}.notice_scan_interval + kReadAndSend + kOrderLife,
-            kAllowed);
+  EXPECT_LE(
+      WorkOwnerOptions{}.notice_scan_interval + kReadAndSend + kStartOrderTtl,
+      kAllowed);
 }
 
 // Found on the large site: after a takeover 25 of 240 VMs were missing for ten
