--- a/beamhill/queues/queue_table.h
+++ b/beamhill/queues/queue_table.h
@@ -26,7 +26,7 @@
 struct Service {
   std::string name;
   // Whether its runners refuse what exceeds their room.
-  bool guards_room = true;
+  bool enforces_capacity = true;
   // A reserve whose VMs are off.
   bool spare = false;
 };
