--- a/beamhill/dispatch/ownership_keeper.cc
+++ b/beamhill/dispatch/ownership_keeper.cc
@@ -362,7 +362,7 @@
                 }));
 }
 
-void OwnershipKeeper::HandOverTo() {
+void OwnershipKeeper::HandOverToPeer() {
   no_claim_before_ = hooks_.now() + options_.hand_over_pause;
   Lose("handed over: the table does not answer here");
 }
--- a/beamhill/dispatch/ownership_keeper.h
+++ b/beamhill/dispatch/ownership_keeper.h
@@ -106,7 +106,7 @@
   // stored or can't be.
   void Release(std::function<void()> done);
   // Stops owning without a word to the table; a peer claims.
-  void HandOverTo();
+  void HandOverToPeer();
 
  private:
   struct OpenCommit {
--- a/beamhill/dispatch/ownership_keeper_test.cc
+++ b/beamhill/dispatch/ownership_keeper_test.cc
@@ -249,7 +249,7 @@
 TEST_F(OwnershipKeeperTest, EpochThatWasGivenUpIsNotTakenUpAgain) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
-  a.keeper->HandOverTo();
+  a.keeper->HandOverToPeer();
   Pass(seconds(5), {&a});
   EXPECT_THAT(a.taken, ElementsAre(1, 2));
 }
@@ -258,7 +258,7 @@
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
-  a.keeper->HandOverTo();
+  a.keeper->HandOverToPeer();
   b.keeper->OnHandOver(1);
   Pass(milliseconds(150), {&a, &b});
   EXPECT_THAT(b.taken, ElementsAre(2));
@@ -270,7 +270,7 @@
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
   b.keeper->OnOwnerHeard(1);
-  a.keeper->HandOverTo();
+  a.keeper->HandOverToPeer();
   Pass(milliseconds(2900), {&a, &b});
   EXPECT_THAT(b.taken, ElementsAre(2));
 }
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -4,7 +4,7 @@
 // everything up; one on a weak VM falls behind a deployment of many VMs.
 //
 //   const auto best = BestServedPeer(peers);
-//   if (best && ShouldHandOver(own, peers[*best])) HandOverTo(*best);
+//   if (best && ShouldHandOver(own, peers[*best])) HandOverToPeer(*best);
 #ifndef BEAMHILL_SCHEDULER_HANDOVER_H_
 #define BEAMHILL_SCHEDULER_HANDOVER_H_
 
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -213,7 +213,7 @@
        {"strength", own.strength},
        {"peer_strength", peer->last.strength}});
   const uint64_t epoch = keeper_->epoch();
-  keeper_->HandOverTo();
+  keeper_->HandOverToPeer();
   OfferHandOver(epoch, served_within);
 }
 
