--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -51,10 +51,10 @@
   }
   ForgetDerived(state);
   state.paces.clear();
-  state.filling_cpu_in_use = 0;
+  state.best_effort_cpu_in_use = 0;
   for (const BestEffortLoad& load : pressure.filling) {
     state.paces[load.image] = load.percent;
-    state.filling_cpu_in_use += load.cpu_millis;
+    state.best_effort_cpu_in_use += load.cpu_millis;
   }
   // A runner that is slow after its start lengthens tails by itself.
   if (state.cold) return;
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -51,8 +51,8 @@
     summary.serving_cpu += vm.serving_cpu;
     summary.filling_cpu += vm.filling_cpu;
     // The last report of a VM stays after its last filler has gone.
-    summary.filling_cpu_in_use +=
-        std::min(vm.filling_cpu_in_use, vm.filling_cpu);
+    summary.best_effort_cpu_in_use +=
+        std::min(vm.best_effort_cpu_in_use, vm.filling_cpu);
     summary.held_runs += vm.held.size();
   }
   for (const auto& [id, job] : jobs_) {
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -154,7 +154,7 @@
   std::map<std::string, ServingImage> serving;
   std::map<std::string, int64_t> filling;  // By image, as asked for.
   std::map<std::string, int32_t> paces;    // By filling image.
-  int64_t filling_cpu_in_use = 0;
+  int64_t best_effort_cpu_in_use = 0;
   uint64_t processed = 0;  // Highest end taken in, of this life.
   uint64_t settled = 0;    // Highest end reported as durable.
   // Worked out when first asked for, and forgotten when what they rest on
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -24,7 +24,7 @@
        {"cpu_used", summary.used.cpu_millis},
        {"cpu_serving", summary.serving_cpu},
        {"cpu_filling", summary.filling_cpu},
-       {"cpu_filling_in_use", summary.filling_cpu_in_use},
+       {"cpu_filling_in_use", summary.best_effort_cpu_in_use},
        {"runs", summary.held_runs},
        {"stops", summary.stops},
        {"oldest_stop_ms", ToMillis(summary.oldest_stop)},
