--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -57,8 +57,8 @@
 
 // What a trial there might cost; lower is better.
 double TrialCost(const Vm& vm, const WorkflowStep& step, TimePoint now) {
-  double cost =
-      static_cast<double>(vm.used.cpu_millis + vm.filling_cpu) / kMillisOfCore;
+  double cost = static_cast<double>(vm.used.cpu_millis + vm.best_effort_cpu) /
+                kMillisOfCore;
   if (IsUnstable(vm, now)) cost += kUnstableCost;
   if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
     cost += kFarFromDataCost;
--- a/beamhill/dispatch/dispatch_fillers.cc
+++ b/beamhill/dispatch/dispatch_fillers.cc
@@ -64,8 +64,8 @@
   queue.known = true;
   queue.sums.clear();
   for (const auto& [run, held] : vm.held) {
-    if (held.filling_cpu == 0) continue;
-    const double cpu = static_cast<double>(held.filling_cpu) *
+    if (held.best_effort_cpu == 0) continue;
+    const double cpu = static_cast<double>(held.best_effort_cpu) *
                        PaceOf(vm, held.image) / kWholePace;
     queue.sums.emplace_back(held.yield_order, cpu);
   }
@@ -142,9 +142,9 @@
   std::vector<std::pair<double, RunRef>> fillers;
   std::map<std::string, double> allowed;  // By image.
   for (const auto& [run, held] : vm.held) {
-    if (held.filling_cpu == 0) continue;
+    if (held.best_effort_cpu == 0) continue;
     fillers.emplace_back(held.yield_order, run);
-    allowed[held.image] += static_cast<double>(held.filling_cpu) *
+    allowed[held.image] += static_cast<double>(held.best_effort_cpu) *
                            PaceOf(vm, held.image) / kWholePace;
   }
   std::sort(fillers.begin(), fillers.end());
@@ -152,7 +152,7 @@
   std::vector<RunRef> starved;
   for (const auto& [order, run] : fillers) {
     HeldRun& held = vm.held.at(run);
-    const auto asked = static_cast<double>(held.filling_cpu);
+    const auto asked = static_cast<double>(held.best_effort_cpu);
     double& of_image = allowed[held.image];
     const double granted = std::max(std::min({asked, of_image, free}), 0.0);
     of_image -= granted;
@@ -207,7 +207,8 @@
     vm.cold = vm.cold && now < vm.warm_at;
     RunTraitsList changed{options_.epoch, vm.status.life, {}};
     for (auto& [run, held] : vm.held) {
-      const Job* job = held.filling_cpu > 0 ? Find(run.task.workflow) : nullptr;
+      const Job* job =
+          held.best_effort_cpu > 0 ? Find(run.task.workflow) : nullptr;
       if (job == nullptr) continue;
       const double moved = std::abs(job->yield_order - held.yield_order);
       if (moved <= kOrderSlack * held.yield_order) continue;
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -291,7 +291,7 @@
 // goes where it fits tightest.
 double Dispatcher::Cost(const Vm& vm, const WorkflowStep& step) const {
   const auto used = static_cast<double>(vm.used.cpu_millis);
-  const auto filling = static_cast<double>(vm.filling_cpu);
+  const auto filling = static_cast<double>(vm.best_effort_cpu);
   const auto serving = static_cast<double>(vm.serving_cpu);
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -118,7 +118,7 @@
   double free = 0;
   for (const auto& [name, vm] : vms_) {
     if (!vm.answered) continue;
-    asked += static_cast<double>(vm.filling_cpu) / kMillisOfCore;
+    asked += static_cast<double>(vm.best_effort_cpu) / kMillisOfCore;
     if (!IsEvacuated(vm)) free += FreeCores(vm);
   }
   const PacePolicy before = filler_load_.policy();
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -58,10 +58,10 @@
   held.image = step.image;
   held.tail_target = step.tail_target;
   if (step.fills) {
-    std::swap(held.filling_cpu, held.amount.cpu_millis);
+    std::swap(held.best_effort_cpu, held.amount.cpu_millis);
     const bool added = vm.filling.count(step.image) == 0;
     vm.new_image = vm.new_image || added;
-    vm.filling[step.image] += held.filling_cpu;
+    vm.filling[step.image] += held.best_effort_cpu;
   }
   if (held.tail_target > Duration(0)) {
     vm.serving_cpu += held.amount.cpu_millis;
@@ -71,7 +71,7 @@
     ++image.runs;
     image.tail_target = step.tail_target;
   }
-  vm.filling_cpu += held.filling_cpu;
+  vm.best_effort_cpu += held.best_effort_cpu;
   vm.used += held.amount;
   vm.held[run] = held;
 }
@@ -88,11 +88,11 @@
     vm.serving_cpu -= held.amount.cpu_millis;
     if (--vm.serving[held.image].runs == 0) vm.serving.erase(held.image);
   }
-  if (held.filling_cpu > 0) {
-    vm.filling[held.image] -= held.filling_cpu;
+  if (held.best_effort_cpu > 0) {
+    vm.filling[held.image] -= held.best_effort_cpu;
     if (vm.filling[held.image] <= 0) vm.filling.erase(held.image);
   }
-  vm.filling_cpu -= held.filling_cpu;
+  vm.best_effort_cpu -= held.best_effort_cpu;
   vm.used -= held.amount;
   vm.held.erase(it);
 }
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -49,10 +49,10 @@
     summary.capacity += vm.status.capacity;
     summary.used += vm.used;
     summary.serving_cpu += vm.serving_cpu;
-    summary.filling_cpu += vm.filling_cpu;
+    summary.best_effort_cpu += vm.best_effort_cpu;
     // The last report of a VM stays after its last filler has gone.
     summary.best_effort_cpu_in_use +=
-        std::min(vm.best_effort_cpu_in_use, vm.filling_cpu);
+        std::min(vm.best_effort_cpu_in_use, vm.best_effort_cpu);
     summary.held_runs += vm.held.size();
   }
   for (const auto& [id, job] : jobs_) {
@@ -95,7 +95,7 @@
     out << "vm " << name << " life " << vm.status.life << " answered "
         << vm.answered << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
-        << vm.status.capacity.cpu_millis << " filling " << vm.filling_cpu
+        << vm.status.capacity.cpu_millis << " filling " << vm.best_effort_cpu
         << " lease_ms " << ToMillis(vm.lease_bound - now) << "\n";
   }
   for (const TaskRef& task : suspects_) {
--- a/beamhill/dispatch/dispatch_types.h
+++ b/beamhill/dispatch/dispatch_types.h
@@ -58,7 +58,7 @@
   Resources capacity;
   Resources used;                      // By what doesn't fill.
   int64_t serving_cpu = 0;             // Part of it.
-  int64_t filling_cpu = 0;             // What fillers ask for.
+  int64_t best_effort_cpu = 0;         // What fillers ask for.
   int64_t best_effort_cpu_in_use = 0;  // What they used, as last reported.
   size_t open_workflows = 0;
   size_t held_runs = 0;
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -88,8 +88,8 @@
 
 // A run that a VM holds: ordered, and not known to be over.
 struct HeldRun {
-  Resources amount;         // Without the processor time of a filler.
-  int64_t filling_cpu = 0;  // What a filler would like of it.
+  Resources amount;             // Without the processor time of a filler.
+  int64_t best_effort_cpu = 0;  // What a filler would like of it.
   std::string image;
   Duration tail_target{};  // Above zero: it serves.
   double yield_order = 0;  // Of a filler, as its executor knows it.
@@ -147,10 +147,10 @@
   std::optional<TimePoint> lost_at;
   std::string lost_life;
   std::map<RunRef, HeldRun> held;
-  PendingStops stops;       // Of held runs, and of others that it showed.
-  Resources used;           // By what doesn't fill.
-  int64_t filling_cpu = 0;  // Asked for by what fills.
-  int64_t serving_cpu = 0;  // Part of `used` that serves.
+  PendingStops stops;           // Of held runs, and of others that it showed.
+  Resources used;               // By what doesn't fill.
+  int64_t best_effort_cpu = 0;  // Asked for by what fills.
+  int64_t serving_cpu = 0;      // Part of `used` that serves.
   std::map<std::string, ServingImage> serving;
   std::map<std::string, int64_t> filling;  // By image, as asked for.
   std::map<std::string, int32_t> paces;    // By filling image.
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -23,7 +23,7 @@
        {"cpu", summary.capacity.cpu_millis},
        {"cpu_used", summary.used.cpu_millis},
        {"cpu_serving", summary.serving_cpu},
-       {"cpu_filling", summary.filling_cpu},
+       {"cpu_filling", summary.best_effort_cpu},
        {"cpu_filling_in_use", summary.best_effort_cpu_in_use},
        {"runs", summary.held_runs},
        {"stops", summary.stops},
