--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -93,9 +93,9 @@
 
 double Dispatcher::OrderOf(const Job& job, uint32_t round, TimePoint now,
                            UnixMillis unix_now) {
-  return YieldOrder(LatenessOf(job, round, now, unix_now),
-                    job.progress.RemainingWork(round),
-                    DueOf(job, round, now, unix_now));
+  return BestEffortRank(LatenessOf(job, round, now, unix_now),
+                        job.progress.RemainingWork(round),
+                        DueOf(job, round, now, unix_now));
 }
 
 void Dispatcher::SetYieldOrder(Job& job, TimePoint now, UnixMillis unix_now) {
--- a/beamhill/dispatch/yield_order.cc
+++ b/beamhill/dispatch/yield_order.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-double YieldOrder(Lateness lateness, double work, TimePoint due) {
+double BestEffortRank(Lateness lateness, double work, TimePoint due) {
   const double age =
       std::chrono::duration<double>(due.time_since_epoch()).count();
   const double rank = lateness == Lateness::kTooLate ? age : work;
--- a/beamhill/dispatch/yield_order.h
+++ b/beamhill/dispatch/yield_order.h
@@ -8,7 +8,7 @@
 // oldest gets on. Nothing starves: see the least shares in dispatch_fillers.cc
 // and executor_pacing.cc.
 //
-//   double order = YieldOrder(Lateness::kInTime, /*work=*/12.5, due);
+//   double order = BestEffortRank(Lateness::kInTime, /*work=*/12.5, due);
 #ifndef BEAMHILL_DISPATCH_YIELD_ORDER_H_
 #define BEAMHILL_DISPATCH_YIELD_ORDER_H_
 
@@ -23,7 +23,7 @@
 };
 
 // `work` is what is left of it, in core-seconds; `due` when its objective ends.
-double YieldOrder(Lateness lateness, double work, TimePoint due);
+double BestEffortRank(Lateness lateness, double work, TimePoint due);
 
 }  // namespace beamhill
 
