--- a/beamhill/dispatch/dispatch_fillers.cc
+++ b/beamhill/dispatch/dispatch_fillers.cc
@@ -67,7 +67,7 @@
     if (held.best_effort_cpu == 0) continue;
     const double cpu = static_cast<double>(held.best_effort_cpu) *
                        PaceOf(vm, held.image) / kWholePace;
-    queue.sums.emplace_back(held.yield_order, cpu);
+    queue.sums.emplace_back(held.best_effort_rank, cpu);
   }
   std::sort(queue.sums.begin(), queue.sums.end());
   double sum = 0;
@@ -101,10 +101,10 @@
   vm.ratios.clear();
 }
 
-double Dispatcher::FreeCpuFor(const Vm& vm, double yield_order) const {
+double Dispatcher::FreeCpuFor(const Vm& vm, double best_effort_rank) const {
   const auto& sums = FillerQueueOf(vm).sums;
   const auto after = std::upper_bound(
-      sums.begin(), sums.end(), yield_order,
+      sums.begin(), sums.end(), best_effort_rank,
       [](double order, const auto& entry) { return order < entry.first; });
   const double filling = after == sums.begin() ? 0 : std::prev(after)->second;
   return FreeCores(vm) * kMillisOfCore - filling;
@@ -118,7 +118,7 @@
                                const WorkflowStep& filler) const {
   if (NeedsARun(job) && LeavesRoomForOthers(vm, filler.each)) return true;
   const auto asked = static_cast<double>(filler.each.cpu_millis);
-  if (FreeCpuFor(vm, job.yield_order) < asked) return false;
+  if (FreeCpuFor(vm, job.best_effort_rank) < asked) return false;
   // What comes before others may push them aside, but only so many.
   const double pushed = kPushedAside * FreeCores(vm) * kMillisOfCore;
   if (FreeCpuFor(vm, kLastOrder) + pushed < asked) return false;
@@ -143,7 +143,7 @@
   std::map<std::string, double> allowed;  // By image.
   for (const auto& [run, held] : vm.held) {
     if (held.best_effort_cpu == 0) continue;
-    fillers.emplace_back(held.yield_order, run);
+    fillers.emplace_back(held.best_effort_rank, run);
     allowed[held.image] += static_cast<double>(held.best_effort_cpu) *
                            PaceOf(vm, held.image) / kWholePace;
   }
@@ -210,9 +210,10 @@
       const Job* job =
           held.best_effort_cpu > 0 ? Find(run.task.workflow) : nullptr;
       if (job == nullptr) continue;
-      const double moved = std::abs(job->yield_order - held.yield_order);
-      if (moved <= kOrderSlack * held.yield_order) continue;
-      held.yield_order = job->yield_order;
+      const double moved =
+          std::abs(job->best_effort_rank - held.best_effort_rank);
+      if (moved <= kOrderSlack * held.best_effort_rank) continue;
+      held.best_effort_rank = job->best_effort_rank;
       vm.filler_queue.known = false;
       const WorkflowStep& step = job->progress.workflow().steps[run.task.step];
       changed.runs.push_back({run, TraitsOf(*job, step)});
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -103,14 +103,14 @@
   for (uint32_t round = 0; round < workflow.rounds(); ++round) {
     if (job.progress.RemainingWork(round) <= 0) continue;
     job.allowed = AllowedFor(job, round);
-    job.yield_order = OrderOf(job, round, now, unix_now);
+    job.best_effort_rank = OrderOf(job, round, now, unix_now);
     return;
   }
 }
 
 TaskTraits Dispatcher::TraitsOf(const Job& job, const WorkflowStep& step) {
   return {step.image, step.fills, step.tail_target, step.each.cpu_millis,
-          job.yield_order};
+          job.best_effort_rank};
 }
 
 // By lateness, the queue's priority and the order within the class of lateness;
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -177,7 +177,7 @@
     double order = -1;
     for (const VmMessage& out : dispatcher_->TakeMessages()) {
       const auto* starts = std::get_if<StartRuns>(&out.message);
-      if (starts != nullptr) order = starts->traits.yield_order;
+      if (starts != nullptr) order = starts->traits.best_effort_rank;
     }
     return order;
   }
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -53,7 +53,7 @@
   if (++job.held_runs > 1) job.kept_going = false;
   ForgetDerived(vm);
   HeldRun held;
-  held.yield_order = job.yield_order;
+  held.best_effort_rank = job.best_effort_rank;
   held.amount = step.each;
   held.image = step.image;
   held.tail_target = step.tail_target;
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -108,7 +108,7 @@
   jobs_.emplace(workflow.id, std::move(job));
   if (!added.progress.over() && !added.opened) MarkDirty(added);
   // Before it is late; brought up to date from then on.
-  added.yield_order = added.progress.RemainingWork(0);
+  added.best_effort_rank = added.progress.RemainingWork(0);
   Decide(workflow.id, "workflow_added",
          std::string(added.inherited ? "inherited" : "new here") + ", " +
              ShapeOf(workflow));
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -281,7 +281,7 @@
   // What a filler of that order can expect of the VM's processors, in
   // thousandths of a core. They go to fillers in their order; those before it
   // count by what their pace lets them use.
-  double FreeCpuFor(const Vm& vm, double yield_order) const;
+  double FreeCpuFor(const Vm& vm, double best_effort_rank) const;
   // What a VM's runs are, or the paces of its fillers, has changed.
   static void ForgetDerived(Vm& vm);
   // Whether the workflow is to be kept going and has nothing at work, so that
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -52,7 +52,7 @@
   bool dirty = false;
   // Which workflow's fillers yield first: the highest. By lateness, then by
   // the work that is left.
-  double yield_order = 0;
+  double best_effort_rank = 0;
   std::optional<TimePoint> over_at;
   uint32_t held_runs = 0;               // On all VMs.
   std::optional<TimePoint> idle_since;  // While none of its tasks is held.
@@ -91,8 +91,8 @@
   Resources amount;             // Without the processor time of a filler.
   int64_t best_effort_cpu = 0;  // What a filler would like of it.
   std::string image;
-  Duration tail_target{};  // Above zero: it serves.
-  double yield_order = 0;  // Of a filler, as its executor knows it.
+  Duration tail_target{};       // Above zero: it serves.
+  double best_effort_rank = 0;  // Of a filler, as its executor knows it.
   std::optional<TimePoint> starved_since;
   TimePoint since{};  // When it was ordered; the epoch for an adopted one.
 };
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -21,14 +21,14 @@
   Duration tail_target{};  // Of a serving task; 0: it doesn't serve.
   int64_t cpu_millis = 0;  // What it would like to use.
   // Of fillers, the one with the lowest order keeps its pace longest.
-  double yield_order = 0;
+  double best_effort_rank = 0;
 
   bool paced() const { return fills || tail_target > Duration(0); }
 
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.image, s.fills, s.tail_target, s.cpu_millis,
-                    s.yield_order);
+                    s.best_effort_rank);
   }
 };
 
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -116,7 +116,7 @@
 
 void Executor::PaceInOrder(std::vector<RunRef> fillers, int64_t free_cpu) {
   const auto key = [this](const RunRef& run) {
-    return std::tie(paced_.at(run).traits.yield_order, run);
+    return std::tie(paced_.at(run).traits.best_effort_rank, run);
   };
   std::sort(fillers.begin(), fillers.end(),
             [&](const RunRef& a, const RunRef& b) { return key(a) < key(b); });
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -336,8 +336,8 @@
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const RunRef later{{"later", 0, 0, 0}, 1};
   const RunRef first{{"first", 0, 0, 0}, 1};
-  Start(later, 1, {}, /*fills=*/true, /*yield_order=*/9);
-  Start(first, 1, {}, /*fills=*/true, /*yield_order=*/1);
+  Start(later, 1, {}, /*fills=*/true, /*best_effort_rank=*/9);
+  Start(first, 1, {}, /*fills=*/true, /*best_effort_rank=*/1);
   Start(serving, 1, milliseconds(20));
   AnswerAll(starts_);
   Pass(milliseconds(300));
@@ -355,7 +355,7 @@
   std::vector<RunningRun> running;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunRef run{{"w", 0, 0, i}, 1};
-    Start(run, 1, {}, /*fills=*/true, /*yield_order=*/10 - i);
+    Start(run, 1, {}, /*fills=*/true, /*best_effort_rank=*/10 - i);
     running.push_back({run, 100, 1600});
   }
   AnswerAll(starts_);
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -90,7 +90,7 @@
   }
 
   void Start(const RunRef& run, uint64_t epoch, Duration tail_target = {},
-             bool fills = false, double yield_order = 0) {
+             bool fills = false, double best_effort_rank = 0) {
     StartRuns starts;
     starts.epoch = epoch;
     starts.life = executor_->status().life;
@@ -99,7 +99,7 @@
     starts.traits.fills = fills;
     starts.traits.tail_target = tail_target;
     starts.traits.cpu_millis = 2000;
-    starts.traits.yield_order = yield_order;
+    starts.traits.best_effort_rank = best_effort_rank;
     starts.runs = {{run.task.index, run.run, "", ""}};
     executor_->OnMessage(kLink, starts);
   }
