--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -19,10 +19,10 @@
 
 const Dispatcher::Ticket* Dispatcher::TicketFor(
     const Job& job, const WorkflowProgress::OpenStep& open,
-    const std::string& life, TimePoint now) {
+    const std::string& incarnation, TimePoint now) {
   const auto advice = job.advice.find({open.round, open.step});
   if (advice == job.advice.end()) return nullptr;
-  const auto it = advice->second.tickets.find(life);
+  const auto it = advice->second.tickets.find(incarnation);
   if (it == advice->second.tickets.end()) return nullptr;
   return it->second.until - now >= kLeastTicket ? &it->second : nullptr;
 }
@@ -37,8 +37,9 @@
   std::vector<std::string> without;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
-    if (TicketFor(job, open, vm.status.life, now) != nullptr) return true;
-    if (without.size() < kAskedAtOnce) without.push_back(vm.status.life);
+    if (TicketFor(job, open, vm.status.incarnation, now) != nullptr)
+      return true;
+    if (without.size() < kAskedAtOnce) without.push_back(vm.status.incarnation);
   }
   if (!advice.asked && now >= advice.ask_after && !without.empty()) {
     advice.asked = true;
@@ -65,8 +66,8 @@
                      : "none came"));
   if (!advice) return;
   const Duration life_of_ticket = job->progress.workflow().policy.ticket_life;
-  for (const auto& [life, text] : advice->tickets) {
-    known.tickets[life] = {text, now + life_of_ticket};
+  for (const auto& [incarnation, text] : advice->tickets) {
+    known.tickets[incarnation] = {text, now + life_of_ticket};
   }
 }
 
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -20,7 +20,8 @@
 void Dispatcher::Settle(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.life != end.first || vm.settled >= end.second) continue;
+    if (vm.status.incarnation != end.first || vm.settled >= end.second)
+      continue;
     // Stays unsettled until the VM can be told.
     if (!vm.linked || !vm.answered) continue;
     vm.settled = end.second;
@@ -31,7 +32,8 @@
 Dispatcher::EndsByVm Dispatcher::UnsettledEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.processed > vm.settled) ends[name] = {vm.status.life, vm.processed};
+    if (vm.processed > vm.settled)
+      ends[name] = {vm.status.incarnation, vm.processed};
   }
   return ends;
 }
--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -70,8 +70,8 @@
 
 void Dispatcher::NoteLostRunner(const std::string& name, Vm& vm,
                                 const PastIncarnation& lost, TimePoint now) {
-  if (vm.lost_life != lost.life) {
-    vm.lost_life = lost.life;
+  if (vm.lost_life != lost.incarnation) {
+    vm.lost_life = lost.incarnation;
     vm.lost_at = now;
   }
   for (const RunRef& run : lost.others) {
--- a/beamhill/dispatch/dispatch_crashes_test.cc
+++ b/beamhill/dispatch/dispatch_crashes_test.cc
@@ -182,7 +182,8 @@
   ASSERT_EQ(starts[1].first, vm);
   const RunEnd stopped{1, starts[0].second, RunEndKind::kStopped, ""};
   const RunEnd done{2, starts[1].second, RunEndKind::kDone, ""};
-  const PastIncarnation past{StatusOf(vm).life, false, {stopped, done}, {}, {}};
+  const PastIncarnation past{
+      StatusOf(vm).incarnation, false, {stopped, done}, {}, {}};
   dispatcher_->OnInventory(
       vm, {2, StatusOf(vm), {}, {}, {stopped, done}, {past}}, now_);
   EXPECT_EQ(dispatcher_->HeldRunsOf("a"), 0U);
--- a/beamhill/dispatch/dispatch_fillers.cc
+++ b/beamhill/dispatch/dispatch_fillers.cc
@@ -205,7 +205,7 @@
   }
   for (auto& [name, vm] : vms_) {
     vm.cold = vm.cold && now < vm.warm_at;
-    RunTraitsList changed{options_.epoch, vm.status.life, {}};
+    RunTraitsList changed{options_.epoch, vm.status.incarnation, {}};
     for (auto& [run, held] : vm.held) {
       const Job* job =
           held.best_effort_cpu > 0 ? Find(run.task.workflow) : nullptr;
--- a/beamhill/dispatch/dispatch_lasting.cc
+++ b/beamhill/dispatch/dispatch_lasting.cc
@@ -109,8 +109,9 @@
   int64_t most = 0;
   for (const auto& [name, vm] : vms_) {
     const VmStatus& status = vm.status;
-    if (!vm.linked || !vm.answered || status.draining || status.life.empty() ||
-        IsEvacuated(vm) || status.service != job.progress.workflow().service ||
+    if (!vm.linked || !vm.answered || status.draining ||
+        status.incarnation.empty() || IsEvacuated(vm) ||
+        status.service != job.progress.workflow().service ||
         health_.IsQuarantined(name) || kept_room_.count(name) > 0) {
       continue;
     }
--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -63,7 +63,8 @@
 // Owner to executor: start these tasks of one step.
 struct StartRuns {
   uint64_t epoch = 0;
-  std::string life;  // Of the runner that is meant; another one ignores it.
+  std::string
+      incarnation;  // Of the runner that is meant; another one ignores it.
   std::string workflow;
   uint32_t round = 0;
   uint32_t step = 0;
@@ -79,8 +80,9 @@
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.life, s.workflow, s.round, s.step, s.payload,
-                    s.traits, s.runs, s.latest_start, s.report_begin);
+    return std::tie(s.epoch, s.incarnation, s.workflow, s.round, s.step,
+                    s.payload, s.traits, s.runs, s.latest_start,
+                    s.report_begin);
   }
 };
 
@@ -91,24 +93,24 @@
 // Owner to executor: stop these runs, or make sure that they never begin.
 struct StopRuns {
   uint64_t epoch = 0;
-  std::string life;
+  std::string incarnation;
   std::vector<RunRef> runs;
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.life, s.runs);
+    return std::tie(s.epoch, s.incarnation, s.runs);
   }
 };
 
 // Owner to executor: ends up to this number are durable.
 struct EndsAcknowledged {
   uint64_t epoch = 0;
-  std::string life;
+  std::string incarnation;
   uint64_t through = 0;
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.life, s.through);
+    return std::tie(s.epoch, s.incarnation, s.through);
   }
 };
 
@@ -125,7 +127,7 @@
 
 // What the runner on a VM says of itself. Executor to owner, on each change.
 struct VmStatus {
-  std::string life;  // Names this run of the runner; empty: none is up.
+  std::string incarnation;  // Names this run of the runner; empty: none is up.
   std::string service;
   std::string hall;
   std::string rack;
@@ -137,12 +139,12 @@
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.life, s.service, s.hall, s.rack, s.labels, s.capacity,
-                    s.draining, s.remaining, s.cold);
+    return std::tie(s.incarnation, s.service, s.hall, s.rack, s.labels,
+                    s.capacity, s.draining, s.remaining, s.cold);
   }
 };
 
-// One end as the runner lists it. Numbers rise within a life.
+// One end as the runner lists it. Numbers rise within an incarnation.
 struct RunEnd {
   uint64_t number = 0;
   RunRef run;
@@ -159,9 +161,9 @@
 // it is for starts that are slow to take effect.
 inline constexpr Duration kCrashWindow = std::chrono::seconds(1);
 
-// A life of a runner that is over, as its executor last saw it.
+// A incarnation of a runner that is over, as its executor last saw it.
 struct PastIncarnation {
-  std::string life;
+  std::string incarnation;
   bool announced = false;     // It had said that it leaves.
   std::vector<RunEnd> ended;  // Listed and not settled.
   // What had begun within kCrashWindow of its last sign of life.
@@ -170,7 +172,8 @@
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.life, s.announced, s.ended, s.just_begun, s.others);
+    return std::tie(s.incarnation, s.announced, s.ended, s.just_begun,
+                    s.others);
   }
 };
 
@@ -197,7 +200,7 @@
   kFenced,       // The runner has seen a later epoch.
   kOutdated,     // The run or its lease end is too old.
   kNotAllowed,   // The VM may not run the step.
-  kUnhealthy,    // The runner turned it away, or another life answers.
+  kUnhealthy,    // The runner turned it away, or another incarnation answers.
   kUnreachable,  // Nobody answers where the runner was.
 };
 std::string_view NotBegunReasonName(NotBegunReason reason);
@@ -215,7 +218,7 @@
 // Executor to owner, as it happens. Ends are repeated until settled.
 struct RunReports {
   uint64_t epoch = 0;
-  std::string life;
+  std::string incarnation;
   std::vector<RunEnd> ended;
   std::vector<RunNotBegun> not_begun;
   // Of workflows whose owner wants to hear it, the first on this VM.
@@ -223,7 +226,7 @@
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.life, s.ended, s.not_begun, s.begun);
+    return std::tie(s.epoch, s.incarnation, s.ended, s.not_begun, s.begun);
   }
 };
 
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -252,7 +252,7 @@
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
   if (!vm.linked || !vm.answered || !vm.leased || status.draining ||
-      status.life.empty() ||
+      status.incarnation.empty() ||
       status.service != job.progress.workflow().service) {
     return false;
   }
@@ -278,7 +278,7 @@
   if (!Fits(vm, name, job, step, now)) return false;
   const Workflow& workflow = job.progress.workflow();
   if (workflow.policy.needs_advice &&
-      TicketFor(job, open, vm.status.life, now) == nullptr) {
+      TicketFor(job, open, vm.status.incarnation, now) == nullptr) {
     return false;
   }
   return step.max_per_vm == 0 ||
@@ -388,7 +388,7 @@
       starts_[{name, TaskRef{ref.workflow, ref.round, ref.step, 0}}];
   if (starts.runs.empty()) {
     starts.epoch = options_.epoch;
-    starts.life = vm.status.life;
+    starts.incarnation = vm.status.incarnation;
     starts.workflow = ref.workflow;
     starts.round = ref.round;
     starts.step = ref.step;
@@ -398,7 +398,7 @@
     starts.report_begin = !job.progress.begun();
   }
   const Ticket* ticket =
-      TicketFor(job, {ref.round, ref.step}, vm.status.life, now);
+      TicketFor(job, {ref.round, ref.step}, vm.status.incarnation, now);
   starts.runs.push_back(
       {ref.index, run, checkpoint, ticket == nullptr ? "" : ticket->text});
   run_log_.Note("run_ordered", {ref, run}, name,
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -19,7 +19,7 @@
 // A VM that refused a start for want of room gets none for so long.
 constexpr Duration kNoRoomPause = std::chrono::milliseconds(250);
 // A VM whose runner nobody answers for; its lease ends meanwhile, or its next
-// life registers.
+// incarnation registers.
 constexpr Duration kUnreachablePause = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -101,7 +101,7 @@
   // One that has not answered may obey all the same; if not, they are due again
   // once it has.
   if (!vm.linked || authority_ == Authority::kNone) return;
-  StopRuns stops{options_.epoch, vm.status.life, {}};
+  StopRuns stops{options_.epoch, vm.status.incarnation, {}};
   for (const DueStop& stop : vm.stops.TakeDue(now)) {
     stops.runs.push_back(stop.run);
     if (!stop.repeated) continue;
@@ -186,12 +186,14 @@
 
 void Dispatcher::TakeInventoryStatus(const std::string& name, Vm& vm,
                                      const VmStatus& status, TimePoint now) {
-  if (status.life != vm.status.life) {
-    // Another life of the runner: all that the earlier one ran is gone. Where
-    // it can't be told whether it is another, stops settle what is not there.
-    if (!MayBeSameIncarnation(status.life, vm.status.life)) {
+  if (status.incarnation != vm.status.incarnation) {
+    // Another incarnation of the runner: all that the earlier one ran is gone.
+    // Where it can't be told whether it is another, stops settle what is not
+    // there.
+    if (!MayBeSameIncarnation(status.incarnation, vm.status.incarnation)) {
       LetGoAll(name, vm,
-               status.life.empty() ? "runner gone" : "runner replaced", now);
+               status.incarnation.empty() ? "runner gone" : "runner replaced",
+               now);
     }
     vm.trial.reset();
     vm.not_before = TimePoint{};
@@ -259,7 +261,7 @@
 }
 
 void Dispatcher::SendTraits(const std::string& name, const Vm& vm) {
-  RunTraitsList list{options_.epoch, vm.status.life, {}};
+  RunTraitsList list{options_.epoch, vm.status.incarnation, {}};
   for (const auto& [run, held] : vm.held) {
     const Job* job = Find(run.task.workflow);
     if (job == nullptr) continue;
@@ -321,8 +323,8 @@
   if (taken_in) vm.settled = std::min(vm.settled, end.number - 1);
 }
 
-// Only ends that say something of the task: a checkpoint of an earlier life may
-// be older than what is known by now.
+// Only ends that say something of the task: a checkpoint of an earlier
+// incarnation may be older than what is known by now.
 void Dispatcher::ApplyPastEnds(const std::string& name, Vm& vm,
                                const PastIncarnation& past, TimePoint now) {
   for (const RunEnd& end : past.ended) {
@@ -387,7 +389,7 @@
                            TimePoint now) {
   Vm& state = vms_[vm];
   if (reports.epoch != options_.epoch || !state.answered ||
-      reports.life != state.status.life) {
+      reports.incarnation != state.status.incarnation) {
     return;
   }
   for (const RunEnd& end : reports.ended) ApplyListedEnd(vm, state, end, now);
--- a/beamhill/dispatch/dispatch_stops_test.cc
+++ b/beamhill/dispatch/dispatch_stops_test.cc
@@ -87,10 +87,13 @@
 TEST_F(DispatcherStopsTest, StopIsOverOnceTheRunNeverBegins) {
   const RunRef run = CancelRunningWork();
   Take();
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kStopped}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kStopped}},
+                          {}},
+                         now_);
   EXPECT_EQ(dispatcher_->Summary(now_).stops, 0);
 }
 
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -92,7 +92,7 @@
     out << "evacuated hall " << hall << "\n";
   }
   for (const auto& [name, vm] : vms_) {
-    out << "vm " << name << " life " << vm.status.life << " answered "
+    out << "vm " << name << " life " << vm.status.incarnation << " answered "
         << vm.answered << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
         << vm.status.capacity.cpu_millis << " filling " << vm.best_effort_cpu
--- a/beamhill/dispatch/dispatch_types.h
+++ b/beamhill/dispatch/dispatch_types.h
@@ -24,10 +24,10 @@
 // way to its executor or there, is given back: it comes at most so long after
 // the owner last knew that it may. With the 0.8 s in which an owner reads from
 // the table what it was not told, that is below the 3 s that users allow after
-// a cancellation, if the table answers within 0.3 s. A shorter life brought no
-// gain: with 1.2 s worth was lower by 0.016 on one of three small sites (72
-// pairs of runs, which differ by as much between two runs of one program) and
-// within noise on the others.
+// a cancellation, if the table answers within 0.3 s. A shorter incarnation
+// brought no gain: with 1.2 s worth was lower by 0.016 on one of three small
+// sites (72 pairs of runs, which differ by as much between two runs of one
+// program) and within noise on the others.
 inline constexpr Duration kStartOrderTtl = std::chrono::milliseconds(1900);
 
 // What an owner may do by now.
@@ -94,7 +94,7 @@
 
 // What it answered: the runners that may, each with a ticket for its starts.
 struct Advice {
-  std::map<std::string, std::string> tickets;  // By life.
+  std::map<std::string, std::string> tickets;  // By incarnation.
 };
 
 struct DispatchCounts {
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -232,7 +232,7 @@
 void Dispatcher::OnStatus(const std::string& vm, const VmStatus& status,
                           TimePoint now) {
   Vm& state = vms_[vm];
-  if (status.life != state.status.life) {
+  if (status.incarnation != state.status.incarnation) {
     // Its work is gone, or will be found by the next inventory.
     state.answered = false;
     return;
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -8,9 +8,9 @@
 //  - Only one epoch is current; the runners refuse calls of lower ones, and
 //    each executor obeys the highest it has seen.
 //  - A held run is let go only when its end is listed, when a stop has proven
-//    that it never begins, when its runner is another life, or when every
-//    lease that could cover it has run out and the ownership is confirmed to
-//    be still ours since: a successor might have renewed them.
+//    that it never begins, when its runner is another incarnation, or when
+//    every lease that could cover it has run out and the ownership is confirmed
+//    to be still ours since: a successor might have renewed them.
 //  - What an earlier owner may have started waits until all VMs that it could
 //    have used have answered, or its leases have run out. An owner stores its
 //    epoch with a workflow before it starts any of it, so workflows of its
@@ -160,7 +160,7 @@
   using Vm = dispatch_internal::Vm;
   using LastingWait = dispatch_internal::LastingWait;
   using Relocation = dispatch_internal::Relocation;
-  // By VM: the life of its runner and the number of an end.
+  // By VM: the incarnation of its runner and the number of an end.
   using EndsByVm = std::map<std::string, std::pair<std::string, uint64_t>>;
   struct OpenStepRef {
     Job* job;
@@ -232,8 +232,8 @@
   // The same, of an end that the runner still lists.
   void ApplyListedEnd(const std::string& name, Vm& vm, const RunEnd& end,
                       TimePoint now);
-  // Takes in ends that an earlier life of the runner had listed, when its work
-  // is not let go yet; they may be told more than once.
+  // Takes in ends that an earlier incarnation of the runner had listed, when
+  // its work is not let go yet; they may be told more than once.
   void ApplyPastEnds(const std::string& name, Vm& vm,
                      const PastIncarnation& past, TimePoint now);
   // Returns whether anything that is stored has changed.
@@ -256,7 +256,7 @@
                  TimePoint now);
   static const Ticket* TicketFor(const Job& job,
                                  const WorkflowProgress::OpenStep& open,
-                                 const std::string& life, TimePoint now);
+                                 const std::string& incarnation, TimePoint now);
 
   // In dispatch_pressure.cc.
   // The worst tail over its target, by what was learned, if the filler came
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -74,7 +74,7 @@
   for (int64_t i = 0; i < vms; ++i) {
     const std::string vm = NameOf("vm-", i);
     VmStatus status;
-    status.life = vm + "-life";
+    status.incarnation = vm + "-life";
     status.service = "web";
     status.capacity = kVm;
     owner->OnLinkUp(vm);
@@ -137,7 +137,7 @@
     for (const VmMessage& out : owner->TakeMessages()) {
       const auto* starts = std::get_if<StartRuns>(&out.message);
       if (starts == nullptr) continue;
-      RunReports reports{1, starts->life, {}, {}, {}};
+      RunReports reports{1, starts->incarnation, {}, {}, {}};
       for (const StartRun& run : starts->runs) {
         const TaskRef task{starts->workflow, 0, 0, run.index};
         reports.ended.push_back(
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -169,16 +169,19 @@
   EXPECT_THAT(Tick().starts, SizeIs(1));
 }
 
-// It was kept from work since nobody answered where the life before was.
+// It was kept from work since nobody answered where the incarnation before was.
 TEST_F(DispatcherTest, NextLifeOfARunnerTakesWorkAtOnce) {
   Take({});
   Link("vm-1");
   dispatcher_->AddWorkflow(OneStep("a", 1, 2), std::nullopt, now_);
   const RunRef run = Tick().starts[0].second;
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kUnreachable}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kUnreachable}},
+                          {}},
+                         now_);
   Pass(milliseconds(250), {"vm-1"});
   EXPECT_THAT(Take().starts, IsEmpty());
   lives_["vm-1"] = "vm-1-life-2";
@@ -241,10 +244,13 @@
   Link("vm-1");
   EXPECT_THAT(Take().stops, ElementsAre(std::pair("vm-1", run)));
   EXPECT_THAT(Tick().starts, IsEmpty());
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kStopped}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kStopped}},
+                          {}},
+                         now_);
   now_ += seconds(1);
   dispatcher_->OnHeartbeat("vm-1", {2, now_}, now_);
   EXPECT_THAT(Tick().starts, SizeIs(1));
--- a/beamhill/dispatch/dispatcher_test_base.h
+++ b/beamhill/dispatch/dispatcher_test_base.h
@@ -58,7 +58,7 @@
 
   VmStatus StatusOf(const std::string& vm) {
     VmStatus status;
-    status.life = lives_[vm].empty() ? vm + "-life-1" : lives_[vm];
+    status.incarnation = lives_[vm].empty() ? vm + "-life-1" : lives_[vm];
     status.service = "web";
     status.rack = racks_[vm];
     status.hall = halls_[vm];
@@ -83,10 +83,11 @@
   }
 
   // The VM's runner is lost with all that it ran and comes back as another
-  // life. `others` had been at work there for longer than what had just begun.
+  // incarnation. `others` had been at work there for longer than what had just
+  // begun.
   void LoseRunner(const std::string& vm, std::vector<RunRef> just_begun,
                   std::vector<RunRef> others = {}) {
-    const std::string lost = StatusOf(vm).life;
+    const std::string lost = StatusOf(vm).incarnation;
     lives_[vm] = lost + "x";
     dispatcher_->OnInventory(
         vm,
@@ -157,7 +158,8 @@
   void End(const std::string& vm, uint64_t number, const RunRef& run,
            RunEndKind kind) {
     dispatcher_->OnReports(
-        vm, {2, StatusOf(vm).life, {{number, run, kind, ""}}, {}, {}}, now_);
+        vm, {2, StatusOf(vm).incarnation, {{number, run, kind, ""}}, {}, {}},
+        now_);
   }
 
   bool Store() {
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -36,7 +36,7 @@
 struct StepAdvice {
   bool asked = false;  // A question is open.
   TimePoint ask_after{};
-  std::map<std::string, Ticket> tickets;  // By life.
+  std::map<std::string, Ticket> tickets;  // By incarnation.
 };
 
 // A workflow and what its owner has decided about it.
@@ -155,7 +155,7 @@
   std::map<std::string, int64_t> filling;  // By image, as asked for.
   std::map<std::string, int32_t> paces;    // By filling image.
   int64_t best_effort_cpu_in_use = 0;
-  uint64_t processed = 0;  // Highest end taken in, of this life.
+  uint64_t processed = 0;  // Highest end taken in, of this incarnation.
   uint64_t settled = 0;    // Highest end reported as durable.
   // Worked out when first asked for, and forgotten when what they rest on
   // changes: hundreds of VMs are asked for each start.
--- a/beamhill/dispatch/life_name.cc
+++ b/beamhill/dispatch/life_name.cc
@@ -5,8 +5,8 @@
 
 constexpr char kSeparator = '/';
 
-bool TellsStart(std::string_view life) {
-  return life.find(kSeparator) != std::string_view::npos;
+bool TellsStart(std::string_view incarnation) {
+  return incarnation.find(kSeparator) != std::string_view::npos;
 }
 
 }  // namespace
@@ -18,8 +18,8 @@
   return name;
 }
 
-std::string RunnerOf(std::string_view life) {
-  return std::string(life.substr(0, life.find(kSeparator)));
+std::string RunnerOf(std::string_view incarnation) {
+  return std::string(incarnation.substr(0, incarnation.find(kSeparator)));
 }
 
 bool MayBeSameIncarnation(std::string_view a, std::string_view b) {
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -46,12 +46,12 @@
 // an executor that has restarted, and when their order has changed.
 struct RunTraitsList {
   uint64_t epoch = 0;
-  std::string life;
+  std::string incarnation;
   std::vector<RunTraits> runs;
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.life, s.runs);
+    return std::tie(s.epoch, s.incarnation, s.runs);
   }
 };
 
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -22,8 +22,8 @@
 constexpr size_t kMostPastLives = 16;
 
 bool SameStatus(const VmStatus& a, const VmStatus& b) {
-  return a.life == b.life && a.service == b.service && a.hall == b.hall &&
-         a.labels == b.labels && a.capacity == b.capacity &&
+  return a.incarnation == b.incarnation && a.service == b.service &&
+         a.hall == b.hall && a.labels == b.labels && a.capacity == b.capacity &&
          a.draining == b.draining;
 }
 
@@ -64,10 +64,12 @@
 }
 
 void Executor::KeepPastLife() {
-  if (status_.life.empty()) return;
+  if (status_.incarnation.empty()) return;
   const TimePoint now = hooks_.now();
-  PastIncarnation past = life_record_.Describe(status_.life, IsLeaving());
-  if (!past_lives_.empty() && past_lives_.back().second.life == past.life) {
+  PastIncarnation past =
+      life_record_.Describe(status_.incarnation, IsLeaving());
+  if (!past_lives_.empty() &&
+      past_lives_.back().second.incarnation == past.incarnation) {
     // Given up as silent before; it may have answered and begun more since.
     const bool same = past_lives_.back().second.just_begun == past.just_begun;
     past_lives_.pop_back();
@@ -81,7 +83,7 @@
   ++counts_.runners_lost;
   const auto silent = static_cast<int64_t>(ToMillis(now - last_answer_));
   hooks_.log("runner_lost", "",
-             past.life + ", last heard " + std::to_string(silent) +
+             past.incarnation + ", last heard " + std::to_string(silent) +
                  " ms ago; had just begun: " + RunNames(past.just_begun));
 }
 
@@ -111,38 +113,39 @@
   pacer_.set_policy(pace_policy_);
 }
 
-bool Executor::IsEarlierLife(const std::string& life) const {
-  return std::find(earlier_lives_.begin(), earlier_lives_.end(), life) !=
+bool Executor::IsEarlierLife(const std::string& incarnation) const {
+  return std::find(earlier_lives_.begin(), earlier_lives_.end(), incarnation) !=
          earlier_lives_.end();
 }
 
-void Executor::NoteEarlierLife(const std::string& life) {
-  if (life.empty()) return;
-  earlier_lives_.push_back(life);
+void Executor::NoteEarlierLife(const std::string& incarnation) {
+  if (incarnation.empty()) return;
+  earlier_lives_.push_back(incarnation);
   if (earlier_lives_.size() > kEarlierLives) earlier_lives_.pop_front();
 }
 
 void Executor::OnRunner(const VmStatus& status,
                         std::optional<RunnerClock> clock) {
-  if (IsEarlierLife(status.life) && !another_answers_) {
+  if (IsEarlierLife(status.incarnation) && !another_answers_) {
     hooks_.log("late_registration", "",
-               status.life + " was followed by " + status_.life);
+               status.incarnation + " was followed by " + status_.incarnation);
     return;
   }
-  const bool new_life = status.life != status_.life;
+  const bool new_life = status.incarnation != status_.incarnation;
   const bool changed = !SameStatus(status, status_);
   if (new_life) {
     KeepPastLife();
     std::string labels;
     for (const std::string& label : status.labels) labels += " " + label;
-    hooks_.log("runner_registered", "",
-               status.life + " after " +
-                   (status_.life.empty() ? "none" : status_.life) + ", labels" +
-                   labels);
-    NoteEarlierLife(status_.life);
-    earlier_lives_.erase(
-        std::remove(earlier_lives_.begin(), earlier_lives_.end(), status.life),
-        earlier_lives_.end());
+    hooks_.log(
+        "runner_registered", "",
+        status.incarnation + " after " +
+            (status_.incarnation.empty() ? "none" : status_.incarnation) +
+            ", labels" + labels);
+    NoteEarlierLife(status_.incarnation);
+    earlier_lives_.erase(std::remove(earlier_lives_.begin(),
+                                     earlier_lives_.end(), status.incarnation),
+                         earlier_lives_.end());
     ResetLife();
     leaving_since_.reset();
     leave_asked_at_.reset();
@@ -159,16 +162,16 @@
   if (new_life) LookSoon();
 }
 
-void Executor::OnRunnerLeft(const std::string& life) {
-  if (life != status_.life) return;
-  hooks_.log("runner_left", "", life);
+void Executor::OnRunnerLeft(const std::string& incarnation) {
+  if (incarnation != status_.incarnation) return;
+  hooks_.log("runner_left", "", incarnation);
   leaving_since_ = hooks_.now();
 }
 
 bool Executor::IsCurrent(uint64_t link, uint64_t epoch,
-                         const std::string& life) {
-  const bool current =
-      epoch == epoch_ && owner_link_ == link && life == status_.life;
+                         const std::string& incarnation) {
+  const bool current = epoch == epoch_ && owner_link_ == link &&
+                       incarnation == status_.incarnation;
   if (!current) ++counts_.stale_orders;
   return current;
 }
@@ -179,13 +182,15 @@
   } else if (const auto* renew = std::get_if<RenewLease>(&message)) {
     if (renew->epoch == epoch_ && owner_link_ == link) OnRenew(*renew);
   } else if (const auto* starts = std::get_if<StartRuns>(&message)) {
-    if (IsCurrent(link, starts->epoch, starts->life)) OnStartRuns(*starts);
+    if (IsCurrent(link, starts->epoch, starts->incarnation))
+      OnStartRuns(*starts);
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
-    if (IsCurrent(link, stops->epoch, stops->life)) OnStopRuns(*stops);
+    if (IsCurrent(link, stops->epoch, stops->incarnation)) OnStopRuns(*stops);
   } else if (const auto* settled = std::get_if<EndsAcknowledged>(&message)) {
-    if (IsCurrent(link, settled->epoch, settled->life)) OnSettled(*settled);
+    if (IsCurrent(link, settled->epoch, settled->incarnation))
+      OnSettled(*settled);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
-    if (IsCurrent(link, traits->epoch, traits->life)) OnTraits(*traits);
+    if (IsCurrent(link, traits->epoch, traits->incarnation)) OnTraits(*traits);
   } else if (const auto* learned = std::get_if<InterferenceWeights>(&message)) {
     if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
@@ -245,7 +250,8 @@
     ForgetLeftRunner();
     return;
   }
-  hooks_.log("runner_stays", "", status_.life + " answers though it has left");
+  hooks_.log("runner_stays", "",
+             status_.incarnation + " answers though it has left");
   leaving_since_.reset();
   if (status_.draining) leaving_since_ = hooks_.now();
 }
@@ -264,7 +270,7 @@
   if (!owner_link_ || !inventory_wanted_ || told_empty_) return;
   if (!AllLeasesOver(now)) return;
   hooks_.log("runner_silent", "",
-             status_.life + ": every lease that it was given is over");
+             status_.incarnation + ": every lease that it was given is over");
   told_empty_ = true;
   KeepPastLife();
   DropOrders();
@@ -293,8 +299,8 @@
 
 std::string Executor::Dump() const {
   std::ostringstream out;
-  out << "epoch " << epoch_ << " owned " << owned() << " life " << status_.life
-      << " draining " << status_.draining << " lease_ms "
+  out << "epoch " << epoch_ << " owned " << owned() << " life "
+      << status_.incarnation << " draining " << status_.draining << " lease_ms "
       << ToMillis(lease_end_ - hooks_.now()) << " orders " << orders_.size()
       << " starts_waiting " << start_lane_.waiting() << " for_ms "
       << ToMillis(start_lane_.OldestWait(hooks_.now())) << " stops_waiting "
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -82,11 +82,11 @@
            ExecutorHooks hooks);
 
   // The runner has registered or renewed its registration. One of an earlier
-  // life, which was long on its way, changes nothing; which of two is the
-  // earlier one is settled by who answers looks.
+  // incarnation, which was long on its way, changes nothing; which of two is
+  // the earlier one is settled by who answers looks.
   void OnRunner(const VmStatus& status, std::optional<RunnerClock> clock);
-  // The runner of that life has said that it ends now.
-  void OnRunnerLeft(const std::string& life);
+  // The runner of that incarnation has said that it ends now.
+  void OnRunnerLeft(const std::string& incarnation);
 
   void OnMessage(uint64_t link, const DispatchMessage& message);
   void OnLinkDown(uint64_t link);
@@ -141,7 +141,7 @@
   // For whom a call was made: its answer means nothing to anyone later.
   struct Caller {
     uint64_t epoch = 0;
-    std::string life;
+    std::string incarnation;
   };
   struct Paced {
     TaskTraits traits;
@@ -156,20 +156,20 @@
   void OnAttach(uint64_t link, const Attach& attach);
   void OnRenew(const RenewLease& renew);
   // Whether it comes from the owner that is obeyed, and concerns the runner's
-  // present life; counts those that don't.
-  bool IsCurrent(uint64_t link, uint64_t epoch, const std::string& life);
-  // Whether a later life has registered since.
-  bool IsEarlierLife(const std::string& life) const;
-  void NoteEarlierLife(const std::string& life);
-  // Whether the runner's last life has said that it leaves.
+  // present incarnation; counts those that don't.
+  bool IsCurrent(uint64_t link, uint64_t epoch, const std::string& incarnation);
+  // Whether a later incarnation has registered since.
+  bool IsEarlierLife(const std::string& incarnation) const;
+  void NoteEarlierLife(const std::string& incarnation);
+  // Whether the runner's last incarnation has said that it leaves.
   bool IsLeaving() const { return leaving_since_ || status_.draining; }
-  // The runner's last life is over, or was silent past its leases. Keeps what
-  // was seen of it for owners.
+  // The runner's last incarnation is over, or was silent past its leases. Keeps
+  // what was seen of it for owners.
   void KeepPastLife();
   void ForgetPastLives(TimePoint now);
   // Forgets the starts and stops that wait or are open.
   void DropOrders();
-  // Forgets all that belongs to one life of the runner.
+  // Forgets all that belongs to one incarnation of the runner.
   void ResetLife();
   void NoteClock(const std::optional<RunnerClock>& clock);
   // The end of the granted lease by the runner's clock; nothing without a
@@ -206,9 +206,9 @@
   void RetryStops(TimePoint now);
   void LogOverdueStops(TimePoint now);
   void OnStopReply(const RunRef& run, const RunnerReply& reply);
-  Caller PresentCaller() const { return {epoch_, status_.life}; }
+  Caller PresentCaller() const { return {epoch_, status_.incarnation}; }
   bool IsPresent(const Caller& caller) const {
-    return caller.epoch == epoch_ && caller.life == status_.life;
+    return caller.epoch == epoch_ && caller.incarnation == status_.incarnation;
   }
   // The runner has begun the run: tells the owner, if it wants to hear that.
   void OnBegun(const RunRef& run);
@@ -229,8 +229,9 @@
   void LookIfDue(TimePoint now);
   std::chrono::milliseconds NextWait() const;
   void OnView(RunnerView view, TimePoint sent_at, uint64_t epoch,
-              const std::string& life);
-  // The next registration is that of the life that answers, whichever it is.
+              const std::string& incarnation);
+  // The next registration is that of the incarnation that answers, whichever it
+  // is.
   void NoteAnotherAnswers();
   void ReportEnds(const RunnerView& view);
   void SendInventory(const RunnerView& view);
@@ -294,8 +295,8 @@
   VmStatus status_;
   // Lives of the runner that a later one has followed, the newest last.
   std::deque<std::string> earlier_lives_;
-  // Another life answers at the runner's address than the one that registered
-  // last.
+  // Another incarnation answers at the runner's address than the one that
+  // registered last.
   bool another_answers_ = false;
   std::optional<TimePoint> leaving_since_;
   std::optional<TimePoint> leave_asked_at_;
--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -72,26 +72,28 @@
 }
 
 void Executor::Look(milliseconds wait) {
-  if (status_.life.empty() || epoch_ == 0) return;
+  if (status_.incarnation.empty() || epoch_ == 0) return;
   ++looks_open_;
   ++counts_.looks;
   const bool slow = wait > milliseconds(0);
   if (slow) slow_look_open_ = true;
   const TimePoint sent_at = hooks_.now();
-  RunnerLook call{status_.life, epoch_, settled_, LeaseEndForRunner(), wait};
-  runner_.look(std::move(call),
-               lifetime_.Guard([this, sent_at, slow, epoch = epoch_,
-                                life = status_.life](RunnerView view) {
-                 --looks_open_;
-                 if (slow) slow_look_open_ = false;
-                 OnView(std::move(view), sent_at, epoch, life);
-               }));
+  RunnerLook call{status_.incarnation, epoch_, settled_, LeaseEndForRunner(),
+                  wait};
+  runner_.look(
+      std::move(call),
+      lifetime_.Guard([this, sent_at, slow, epoch = epoch_,
+                       incarnation = status_.incarnation](RunnerView view) {
+        --looks_open_;
+        if (slow) slow_look_open_ = false;
+        OnView(std::move(view), sent_at, epoch, incarnation);
+      }));
 }
 
 void Executor::OnView(RunnerView view, TimePoint sent_at, uint64_t epoch,
-                      const std::string& life) {
+                      const std::string& incarnation) {
   const TimePoint now = hooks_.now();
-  if (epoch != epoch_ || life != status_.life) {
+  if (epoch != epoch_ || incarnation != status_.incarnation) {
     next_look_ = now;
     return;
   }
@@ -172,14 +174,14 @@
 void Executor::NoteAnotherAnswers() {
   if (another_answers_) return;
   another_answers_ = true;
-  hooks_.log("another_life_answers", "", "not " + status_.life);
+  hooks_.log("another_life_answers", "", "not " + status_.incarnation);
 }
 
 void Executor::ReportEnds(const RunnerView& view) {
   if (!owner_link_) return;
   const TimePoint now = hooks_.now();
   const bool again = now - reported_at_ >= kReportAgain;
-  RunReports reports{epoch_, status_.life, {}, {}, {}};
+  RunReports reports{epoch_, status_.incarnation, {}, {}, {}};
   size_t repeated = 0;
   for (const RunEnd& end : view.ended) {
     if (end.number <= settled_) continue;
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -101,7 +101,7 @@
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   ASSERT_THAT(Sent<VmInventory>()[0].past_incarnations, SizeIs(1));
   const PastIncarnation lost = Sent<VmInventory>()[0].past_incarnations[0];
-  EXPECT_EQ(lost.life, "life-1");
+  EXPECT_EQ(lost.incarnation, "life-1");
   EXPECT_THAT(lost.just_begun, testing::ElementsAre(Run(1)));
   EXPECT_THAT(lost.others, testing::ElementsAre(Run(0)));
   Pass(seconds(31));
@@ -167,7 +167,7 @@
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
   Pass(seconds(6));  // A lease and its margin.
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
-  EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
+  EXPECT_EQ(Sent<VmInventory>()[0].status.incarnation, "");
 }
 
 // It was held up, answers once more, and goes down as the next run begins.
@@ -204,14 +204,14 @@
   executor_->OnRunnerLeft("i-1/2");
   PassAnswered(seconds(3));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  EXPECT_EQ(executor_->status().life, "i-1/2");
+  EXPECT_EQ(executor_->status().incarnation, "i-1/2");
   StartAnswered(Run(1), RunnerVerdict::kDone);
 }
 
 // It says that it ends, and takes its time.
 TEST_F(ExecutorLossesTest, LeavingRunnerIsForgottenOnceItNoLongerAnswers) {
   VmStatus status;
-  status.life = "i-1/1";
+  status.incarnation = "i-1/1";
   status.draining = true;
   executor_->OnRunner(status, RunnerClock(1000));
   Attach(1);
@@ -247,13 +247,14 @@
   Attach(1);
   EndLooks(RunnerVerdict::kOtherLife);
   Register("i-1/2");
-  EXPECT_EQ(executor_->status().life, "i-1/2");
+  EXPECT_EQ(executor_->status().incarnation, "i-1/2");
   Register("i-1/2");
   Register("i-1/1");
-  EXPECT_EQ(executor_->status().life, "i-1/2");
+  EXPECT_EQ(executor_->status().incarnation, "i-1/2");
 }
 
-// It has begun on neither life, and need not wait for the next registration.
+// It has begun on neither incarnation, and need not wait for the next
+// registration.
 TEST_F(ExecutorLossesTest, StartThatMeetsAnotherLifeIsGivenBackAtOnce) {
   Register("i-1/1");
   Attach(1);
@@ -265,12 +266,12 @@
   EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("begun: none"));
 }
 
-// A runner went down 10 ms after a task began, and was back as another life
-// 3.2 s later. Before that registered, a start for the earlier life reached it
-// and was turned away; the executor took this for a sign of the life that was
-// gone ("runner_lost ... last heard 5 ms ago") and named what it had asked for
-// within the last second. The task that had taken the runner down was not among
-// them, twice, and was started on six runners.
+// A runner went down 10 ms after a task began, and was back as another
+// incarnation 3.2 s later. Before that registered, a start for the earlier
+// incarnation reached it and was turned away; the executor took this for a sign
+// of the incarnation that was gone ("runner_lost ... last heard 5 ms ago") and
+// named what it had asked for within the last second. The task that had taken
+// the runner down was not among them, twice, and was started on six runners.
 TEST_F(ExecutorLossesTest, AnswerOfALaterLifeClearsNothing) {
   Register("life-1");
   Attach(1);
--- a/beamhill/executor/executor_orders.cc
+++ b/beamhill/executor/executor_orders.cc
@@ -39,8 +39,8 @@
   return std::to_string(static_cast<int64_t>(ToMillis(time)));
 }
 
-// Whether the runner has spoken, in the life that was meant. An answer of a
-// later one is no sign of it.
+// Whether the runner has spoken, in the incarnation that was meant. An answer
+// of a later one is no sign of it.
 bool Spoke(RunnerVerdict verdict) {
   return verdict != RunnerVerdict::kNoAnswer &&
          verdict != RunnerVerdict::kUnreachable &&
@@ -84,9 +84,9 @@
   }
 }
 
-// A stop withdraws a start that waits, a later owner or life of the runner
-// clears the lane; what is left to ask as it leaves is time, and whether its
-// runner leaves.
+// A stop withdraws a start that waits, a later owner or incarnation of the
+// runner clears the lane; what is left to ask as it leaves is time, and whether
+// its runner leaves.
 bool Executor::SendStart(const RunRef& run, const PendingStart& start) {
   const TimePoint now = hooks_.now();
   const std::optional<RunnerClock> lease_end = LeaseEndForRunner();
@@ -100,8 +100,8 @@
   Order& order = orders_[run];
   order.phase = Phase::kStarting;
   order.since = now;
-  RunnerStart call{status_.life,     epoch_,       run,       start.payload,
-                   start.checkpoint, start.ticket, *lease_end};
+  RunnerStart call{status_.incarnation, epoch_,       run,       start.payload,
+                   start.checkpoint,    start.ticket, *lease_end};
   runner_.start(std::move(call),
                 lifetime_.Guard([this, run, now,
                                  caller = PresentCaller()](RunnerReply reply) {
@@ -163,7 +163,7 @@
   for (auto& [other, order] : orders_) {
     if (other.task.workflow == run.task.workflow) order.report_begin = false;
   }
-  SendToOwner(RunReports{epoch_, status_.life, {}, {}, {run}});
+  SendToOwner(RunReports{epoch_, status_.incarnation, {}, {}, {run}});
 }
 
 void Executor::NotBegun(const RunRef& run, NotBegunReason reason) {
@@ -174,7 +174,7 @@
   hooks_.log("run_not_begun", run.task.ToString(),
              "run " + std::to_string(run.run) + ": " +
                  std::string(NotBegunReasonName(reason)));
-  SendToOwner(RunReports{epoch_, status_.life, {}, {{run, reason}}, {}});
+  SendToOwner(RunReports{epoch_, status_.incarnation, {}, {{run, reason}}, {}});
 }
 
 void Executor::OnStopRuns(const StopRuns& stops) {
@@ -206,7 +206,7 @@
 void Executor::SendStops() {
   while (const auto next = stop_lane_.TakeNext()) {
     ++counts_.stops;
-    runner_.stop({status_.life, epoch_, next->run},
+    runner_.stop({status_.incarnation, epoch_, next->run},
                  lifetime_.Guard([this, run = next->run,
                                   caller = PresentCaller()](RunnerReply reply) {
                    stop_lane_.OnDone();
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -179,7 +179,7 @@
     it->second.ordered_at = hooks_.now();
     const uint64_t number = ++counts_.paces;
     it->second.last_sent = number;
-    runner_.pace({status_.life, epoch_, run, next->call.percent},
+    runner_.pace({status_.incarnation, epoch_, run, next->call.percent},
                  lifetime_.Guard([this, run, number,
                                   caller = PresentCaller()](RunnerReply reply) {
                    pace_lane_.OnDone();
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -73,7 +73,7 @@
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.incarnation = "life-1";
   starts.workflow = kRun.task.workflow;
   starts.runs = {{kRun.task.index, kRun.run, "", ""}};
   starts.latest_start = now_ + seconds(2);
@@ -92,7 +92,7 @@
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.incarnation = "life-1";
   starts.workflow = "w";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.report_begin = true;
@@ -130,7 +130,7 @@
   for (uint32_t i = 0; i < open; ++i) Start({{"w", 0, 0, i}, 1}, 1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.incarnation = "life-1";
   starts.workflow = "late";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.latest_start = now_ + seconds(1);
@@ -245,7 +245,7 @@
   Register("life-2");
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.incarnation = "life-1";
   starts.runs = {{0, 1, "", ""}};
   executor_->OnMessage(kLink, starts);
   EXPECT_THAT(starts_, IsEmpty());
@@ -290,7 +290,7 @@
   Pass(milliseconds(2500));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].epoch, 2);
-  EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
+  EXPECT_EQ(Sent<VmInventory>()[0].status.incarnation, "");
 }
 
 TEST_F(ExecutorTest, RestartedExecutorWaitsOutLeasesThatItDoesNotKnow) {
@@ -325,7 +325,7 @@
   gone.reply.verdict = RunnerVerdict::kUnreachable;
   asked(gone);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
-  EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
+  EXPECT_EQ(Sent<VmInventory>()[0].status.incarnation, "");
 }
 
 // What an image may still use goes to the first in the order: two that share
@@ -461,7 +461,7 @@
 }
 
 // A registration that a cut has held up arrives when its sender has crashed and
-// a new life has registered: it must not bring the dead one back.
+// a new incarnation has registered: it must not bring the dead one back.
 TEST_F(ExecutorTest, LateRegistrationOfAnEarlierLifeChangesNothing) {
   Register("life-1");
   Register("life-2");
@@ -469,11 +469,11 @@
   Start(kRun, 1);
   ASSERT_THAT(starts_, SizeIs(1));
   Register("life-1");
-  EXPECT_EQ(executor_->status().life, "life-2");
+  EXPECT_EQ(executor_->status().incarnation, "life-2");
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
   Register("life-3");
   Register("life-2");
-  EXPECT_EQ(executor_->status().life, "life-3");
+  EXPECT_EQ(executor_->status().incarnation, "life-3");
 }
 
 // It begins at full speed, and until the next look nobody would hold it.
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -2,7 +2,7 @@
 // records what it is told; for the Executor's tests.
 //
 //   TEST_F(ExecutorTest, StartsWhatItIsTold) {
-//     Register("life-1");
+//     Register("incarnation-1");
 //     Attach(1);
 //     Start(kRun, 1);
 //     EXPECT_THAT(starts_, SizeIs(1));
@@ -60,9 +60,9 @@
 
   int last_pace_ = -1;
 
-  void Register(const std::string& life) {
+  void Register(const std::string& incarnation) {
     VmStatus status;
-    status.life = life;
+    status.incarnation = incarnation;
     status.capacity = {8000, 16000, 0};
     executor_->OnRunner(status, RunnerClock(1000));
   }
@@ -93,7 +93,7 @@
              bool fills = false, double best_effort_rank = 0) {
     StartRuns starts;
     starts.epoch = epoch;
-    starts.life = executor_->status().life;
+    starts.incarnation = executor_->status().incarnation;
     starts.workflow = run.task.workflow;
     starts.traits.image = "img";
     starts.traits.fills = fills;
--- a/beamhill/executor/life_record.cc
+++ b/beamhill/executor/life_record.cc
@@ -25,10 +25,10 @@
   last_view_ = std::move(view);
 }
 
-PastIncarnation LifeRecord::Describe(const std::string& life,
+PastIncarnation LifeRecord::Describe(const std::string& incarnation,
                                      bool announced) const {
   PastIncarnation past;
-  past.life = life;
+  past.incarnation = incarnation;
   past.announced = announced;
   past.ended = last_view_.ended;
   for (const auto& [run, asked_at] : asked_) past.just_begun.push_back(run);
--- a/beamhill/executor/life_record.h
+++ b/beamhill/executor/life_record.h
@@ -1,6 +1,6 @@
-// What an executor has seen of its runner's present life, to be told once that
-// life is over: ends that nobody has settled, and which runs may have taken the
-// runner down.
+// What an executor has seen of its runner's present incarnation, to be told
+// once that incarnation is over: ends that nobody has settled, and which runs
+// may have taken the runner down.
 //
 // A task that takes its runner down does so as it starts. So of a runner that
 // is lost, only what had just begun when it was last heard is under suspicion.
@@ -8,7 +8,8 @@
 //   LifeRecord record;
 //   record.OnAsked(run, now);         // A start is asked of the runner.
 //   record.OnView(view, asked_at);    // The runner has answered a look.
-//   PastIncarnation past = record.Describe("life-1", /*announced=*/false);
+//   PastIncarnation past = record.Describe("incarnation-1",
+//   /*announced=*/false);
 #ifndef BEAMHILL_EXECUTOR_LIFE_RECORD_H_
 #define BEAMHILL_EXECUTOR_LIFE_RECORD_H_
 
@@ -34,7 +35,8 @@
   void OnView(RunnerView view, TimePoint sent_at);
 
   // `announced`: the runner had said that it leaves.
-  PastIncarnation Describe(const std::string& life, bool announced) const;
+  PastIncarnation Describe(const std::string& incarnation,
+                           bool announced) const;
 
  private:
   std::map<RunRef, TimePoint> asked_;  // Within kCrashWindow.
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -30,7 +30,7 @@
   kNotAllowed,   // The VM may not run this step.
   kUnhealthy,    // It turned the call away and has done nothing.
   kUnreachable,  // Nobody took the call; nothing is done.
-  kOtherLife,    // Another life of the runner answers now.
+  kOtherLife,    // Another incarnation of the runner answers now.
   kNoAnswer,     // It may have been done, or may yet be done.
 };
 
@@ -40,7 +40,7 @@
 };
 
 struct RunnerStart {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
   std::string payload;
@@ -50,20 +50,20 @@
 };
 
 struct RunnerStop {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
 };
 
 struct RunnerPace {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
   int percent = 100;  // Share of its time that the task may work.
 };
 
 struct RunnerLook {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   uint64_t settled_through = 0;  // Ends up to here may be forgotten.
   std::optional<RunnerClock> lease_end;
--- a/beamhill/replay/crash_replay_test.cc
+++ b/beamhill/replay/crash_replay_test.cc
@@ -1,9 +1,10 @@
 // A task of a quick workflow took down each runner that started it, 10 ms after
-// its start. The runner came back 3 s later as another life, and the owner let
-// the task's run go as lapsed and started the task on the next runner, since
-// only runs that a runner lists as failed counted as attempts. On 11 VMs
-// runners registered 272 times in 115 s, two tasks were started 21 times by
-// their last owner alone, and 10 to 30 other runs were lost with each runner.
+// its start. The runner came back 3 s later as another incarnation, and the
+// owner let the task's run go as lapsed and started the task on the next
+// runner, since only runs that a runner lists as failed counted as attempts. On
+// 11 VMs runners registered 272 times in 115 s, two tasks were started 21 times
+// by their last owner alone, and 10 to 30 other runs were lost with each
+// runner.
 //
 // So a task that takes its runners down is to be given up, whoever owns the
 // work meanwhile, and nothing else is.
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -28,7 +28,7 @@
   up_ = true;
   ++life_;
   VmStatus status;
-  status.life = IncarnationName();
+  status.incarnation = IncarnationName();
   status.service = "web";
   status.capacity = options_.size;
   hooks_.on_up(status);
@@ -47,7 +47,7 @@
   time_.After(down_for, [this] { ComeUp(); });
 }
 
-void CrashingRunner::Call(const std::string& life,
+void CrashingRunner::Call(const std::string& incarnation,
                           std::function<void(RunnerReply)> done,
                           std::function<RunnerVerdict()> act) {
   if (!up_) {
@@ -57,11 +57,11 @@
     return;
   }
   const int asked = life_;
-  time_.After(kCallTime, [this, life, asked, done = std::move(done),
+  time_.After(kCallTime, [this, incarnation, asked, done = std::move(done),
                           act = std::move(act)] {
     if (!up_ || life_ != asked) {
       done({RunnerVerdict::kNoAnswer, std::nullopt});
-    } else if (life != IncarnationName()) {
+    } else if (incarnation != IncarnationName()) {
       done(Reply(RunnerVerdict::kOtherLife));
     } else {
       done(Reply(act()));
@@ -72,13 +72,13 @@
 TaskRunner CrashingRunner::Hooks() {
   TaskRunner hooks;
   hooks.start = [this](RunnerStart call, auto done) {
-    Call(call.life, done, [this, run = call.run] { return Start(run); });
+    Call(call.incarnation, done, [this, run = call.run] { return Start(run); });
   };
   hooks.stop = [this](RunnerStop call, auto done) {
-    Call(call.life, done, [this, run = call.run] { return Stop(run); });
+    Call(call.incarnation, done, [this, run = call.run] { return Stop(run); });
   };
   hooks.pace = [this](RunnerPace call, auto done) {
-    Call(call.life, done, [] { return RunnerVerdict::kDone; });
+    Call(call.incarnation, done, [] { return RunnerVerdict::kDone; });
   };
   hooks.look = [this](RunnerLook call, auto done) { Look(call, done); };
   return hooks;
@@ -94,10 +94,10 @@
   }
   runs_[run] = task;
   hooks_.on_start(run);
-  const auto later = [this, run, life = life_](
+  const auto later = [this, run, incarnation = life_](
                          Duration delay, const std::function<void()>& act) {
-    time_.After(delay, [this, run, life, act] {
-      if (up_ && life_ == life && runs_.count(run) > 0) act();
+    time_.After(delay, [this, run, incarnation, act] {
+      if (up_ && life_ == incarnation && runs_.count(run) > 0) act();
     });
   };
   if (task.crashes_after) {
@@ -127,7 +127,7 @@
 
 void CrashingRunner::Look(const RunnerLook& call,
                           const std::function<void(RunnerView)>& done) {
-  if (!up_ || call.life != IncarnationName()) {
+  if (!up_ || call.incarnation != IncarnationName()) {
     RunnerView view;
     view.reply.verdict =
         up_ ? RunnerVerdict::kOtherLife : RunnerVerdict::kUnreachable;
--- a/beamhill/replay/crashing_runner.h
+++ b/beamhill/replay/crashing_runner.h
@@ -1,5 +1,5 @@
 // A runner in virtual time that goes down, by itself or by a task that it
-// starts, and comes back as another life.
+// starts, and comes back as another incarnation.
 //
 // It keeps to what an Executor relies on: an end is listed until it is settled,
 // a run is started once, a look waits for an end. While it is down nobody takes
@@ -41,7 +41,7 @@
 
 struct CrashingRunnerHooks {
   std::function<CrashingTask(const TaskRef& task)> task_of;
-  // A new life registers.
+  // A new incarnation registers.
   std::function<void(const VmStatus& status)> on_up;
   std::function<void(const RunRef& run)> on_start;
   // The task has taken the runner down.
@@ -55,7 +55,7 @@
 
   TaskRunner Hooks();
   void ComeUp();
-  // Loses all that runs; another life comes up after so long.
+  // Loses all that runs; another incarnation comes up after so long.
   void GoDown(Duration down_for);
   bool is_up() const { return up_; }
   size_t running() const { return runs_.size(); }
@@ -69,9 +69,10 @@
 
   std::string IncarnationName() const;
   RunnerReply Reply(RunnerVerdict verdict) const;
-  // Carries out a call of that life a moment later, if the runner still lives
-  // then.
-  void Call(const std::string& life, std::function<void(RunnerReply)> done,
+  // Carries out a call of that incarnation a moment later, if the runner still
+  // lives then.
+  void Call(const std::string& incarnation,
+            std::function<void(RunnerReply)> done,
             std::function<RunnerVerdict()> act);
   RunnerVerdict Start(const RunRef& run);
   RunnerVerdict Stop(const RunRef& run);
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -101,7 +101,7 @@
 
   static VmStatus Status() {
     VmStatus status;
-    status.life = "life-1";
+    status.incarnation = "life-1";
     status.capacity = {64000, 256000, 0};
     return status;
   }
@@ -177,7 +177,7 @@
     const ReplayTask task = TaskOf(ref);
     StartRuns starts;
     starts.epoch = epoch_;
-    starts.life = "life-1";
+    starts.incarnation = "life-1";
     starts.workflow = workflow;
     starts.traits = {task.image, task.fills, task.tail_target, task.cpu_millis,
                      1};
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -168,7 +168,7 @@
     vm.executor = std::make_unique<Executor>(ExecutorOptions{},
                                              vm.runner->Hooks(), hooks);
     VmStatus status;
-    status.life = name + "-life";
+    status.incarnation = name + "-life";
     status.service = kService;
     status.capacity = load_.vm;
     vm.executor->OnRunner(status, std::chrono::duration_cast<RunnerClock>(
--- a/beamhill/replay/outage_replay.cc
+++ b/beamhill/replay/outage_replay.cc
@@ -159,7 +159,7 @@
     vm.executor = std::make_unique<Executor>(ExecutorOptions{},
                                              vm.runner->Hooks(), hooks);
     VmStatus status;
-    status.life = name + "-life";
+    status.incarnation = name + "-life";
     status.service = "web";
     status.capacity = kSize;
     vm.executor->OnRunner(status, std::chrono::duration_cast<RunnerClock>(
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -49,7 +49,7 @@
 
   static VmStatus StatusOf(const std::string& vm) {
     VmStatus status;
-    status.life = vm + "-life";
+    status.incarnation = vm + "-life";
     status.service = "web";
     status.capacity = {8000, 16000, 0};
     return status;
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -46,7 +46,7 @@
   void SendInventory() {
     VmInventory inventory;
     inventory.epoch = epoch_;
-    inventory.status.life = "life";
+    inventory.status.incarnation = "life";
     inventory.status.service = "web";
     inventory.status.capacity = {8000, 16000, 0};
     inventory.running = running_;
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -46,7 +46,7 @@
       epoch_ = attach->epoch;
       VmInventory inventory;
       inventory.epoch = attach->epoch;
-      inventory.status.life = name_ + "-life";
+      inventory.status.incarnation = name_ + "-life";
       inventory.running = {{{"unknown-" + name_, 0, 0, 0}, 1}};
       link.Send(EncodeDispatch(inventory));
     };
@@ -93,7 +93,7 @@
       epoch_ = attach->epoch;
       VmInventory inventory;
       inventory.epoch = epoch_;
-      inventory.status.life = "life";
+      inventory.status.incarnation = "life";
       inventory.status.capacity = {1000000, 1000000, 0};
       for (uint32_t i = 0; i < tasks_; ++i) inventory.running.push_back(Run(i));
       link.Send(EncodeDispatch(inventory));
@@ -106,7 +106,7 @@
     if (link_ == nullptr || ended_ == tasks_) return;
     RunReports reports;
     reports.epoch = epoch_;
-    reports.life = "life";
+    reports.incarnation = "life";
     reports.ended = {{ended_ + 1, Run(ended_), RunEndKind::kDone, ""}};
     ++ended_;
     link_->Send(EncodeDispatch(reports));
