--- a/beamhill/dispatch/dispatch_halls_test.cc
+++ b/beamhill/dispatch/dispatch_halls_test.cc
@@ -51,7 +51,7 @@
 TEST_F(DispatcherHallsTest, NeitherFillersNorRetriesNorIdleWork) {
   TakeTwoHalls();
   Workflow filling = OneStep("f", 30, 2);
-  filling.steps[0].fills = true;
+  filling.steps[0].best_effort = true;
   filling.steps[0].image = "f";
   filling.policy.max_attempts = 100;
   dispatcher_->AddWorkflow(filling, std::nullopt, now_);
--- a/beamhill/dispatch/dispatch_lasting.cc
+++ b/beamhill/dispatch/dispatch_lasting.cc
@@ -134,7 +134,7 @@
   if (kept == kept_room_.end()) return true;
   const Resources left = vm.status.capacity - vm.used - kept->second;
   if (left.memory_mib < step.each.memory_mib) return false;
-  return step.fills || left.cpu_millis >= step.each.cpu_millis;
+  return step.best_effort || left.cpu_millis >= step.each.cpu_millis;
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/dispatch_layout.cc
+++ b/beamhill/dispatch/dispatch_layout.cc
@@ -46,7 +46,7 @@
   for (const auto& [id, job] : jobs_) {
     if (job->progress.over()) continue;
     for (const WorkflowStep& step : job->progress.workflow().steps) {
-      if (!step.fills) continue;
+      if (!step.best_effort) continue;
       const auto cpu = static_cast<double>(step.each.cpu_millis) * step.tasks;
       asked[step.image] += cpu / kMillisOfCore;
     }
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -109,7 +109,7 @@
 }
 
 TaskTraits Dispatcher::TraitsOf(const Job& job, const WorkflowStep& step) {
-  return {step.image, step.fills, step.tail_target, step.each.cpu_millis,
+  return {step.image, step.best_effort, step.tail_target, step.each.cpu_millis,
           job.best_effort_rank};
 }
 
@@ -248,7 +248,7 @@
                       const WorkflowStep& step, TimePoint now) const {
   // What most VMs fail at comes first, and what is dear to ask comes last.
   Resources need = step.each;
-  if (step.fills) need.cpu_millis = 0;
+  if (step.best_effort) need.cpu_millis = 0;
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
   if (!vm.linked || !vm.answered || !vm.leased || status.draining ||
@@ -266,7 +266,7 @@
                 step.required_label) == status.labels.end()) {
     return false;
   }
-  if (step.fills && !HasRoomToFill(vm, job, step)) return false;
+  if (step.best_effort && !HasRoomToFill(vm, job, step)) return false;
   return LeavesKeptRoom(name, vm, step) &&
          IsHealthyFor(name, vm, job, step, now);
 }
@@ -285,9 +285,9 @@
          HeldOfStep(vm, workflow.id, open) < step.max_per_vm;
 }
 
-// Lower is better. What fills goes where most processor time is left over
-// and least harm is expected; what serves gathers on few VMs, beside its like
-// if it can, so that fillers find VMs where they disturb nothing; the rest
+// Lower is better. What is best-effort goes where most processor time is left
+// over and least harm is expected; what serves gathers on few VMs, beside its
+// like if it can, so that fillers find VMs where they disturb nothing; the rest
 // goes where it fits tightest.
 double Dispatcher::Cost(const Vm& vm, const WorkflowStep& step) const {
   const auto used = static_cast<double>(vm.used.cpu_millis);
@@ -295,7 +295,7 @@
   const auto serving = static_cast<double>(vm.serving_cpu);
   const auto whole =
       static_cast<double>(std::max<int64_t>(vm.status.capacity.cpu_millis, 1));
-  if (step.fills) {
+  if (step.best_effort) {
     const double busy =
         (used - serving + dispatch_internal::kServingUse * serving + filling) /
         whole;
@@ -320,8 +320,8 @@
   return std::any_of(no_room_.begin(), no_room_.end(), [&](const auto& entry) {
     const WorkflowStep& earlier = entry.second;
     // A filler may have been kept away for what its own image disturbs.
-    const bool alike = earlier.fills == step.fills &&
-                       (!step.fills || earlier.image == step.image);
+    const bool alike = earlier.best_effort == step.best_effort &&
+                       (!step.best_effort || earlier.image == step.image);
     return entry.first == service && alike && step.each.Holds(earlier.each);
   });
 }
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -82,11 +82,11 @@
   dispatcher_->AddWorkflow(serving, std::nullopt, now_);
   ASSERT_THAT(Tick().starts, SizeIs(1));
   Workflow filling = OneStep("f", 1, 2);
-  filling.steps[0].fills = true;
+  filling.steps[0].best_effort = true;
   dispatcher_->AddWorkflow(filling, std::nullopt, now_);
   EXPECT_THAT(Tick().starts, SizeIs(1));
   Workflow large = OneStep("g", 1, 2);
-  large.steps[0].fills = true;
+  large.steps[0].best_effort = true;
   large.steps[0].each.memory_mib = 16000;
   dispatcher_->AddWorkflow(large, std::nullopt, now_);
   EXPECT_THAT(Tick().starts, IsEmpty());
@@ -184,7 +184,7 @@
 
   static Workflow Filler(uint32_t tasks) {
     Workflow filling = OneStep("f", tasks, 2);
-    filling.steps[0].fills = true;
+    filling.steps[0].best_effort = true;
     filling.steps[0].image = "f";
     return filling;
   }
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -101,7 +101,7 @@
     if (!MayStart(*job)) continue;
     for (const auto& open : job->progress.OpenSteps(unix_now)) {
       const WorkflowStep& step = job->progress.workflow().steps[open.step];
-      if (!step.fills) continue;
+      if (!step.best_effort) continue;
       const auto& tasks = job->progress.TasksOf(open.round, open.step);
       const auto waiting =
           std::count_if(tasks.begin(), tasks.end(), [](const auto& task) {
--- a/beamhill/dispatch/dispatch_pressure_test.cc
+++ b/beamhill/dispatch/dispatch_pressure_test.cc
@@ -54,7 +54,7 @@
 
   static Workflow Filler() {
     Workflow filling = OneStep("f", 1, 2);
-    filling.steps[0].fills = true;
+    filling.steps[0].best_effort = true;
     filling.steps[0].saves_progress = true;
     filling.steps[0].image = "f";
     return filling;
@@ -127,7 +127,8 @@
   Teach(calm_vm);
   dispatcher_->TakeMessages();
   dispatcher_->SendWeights();
-  EXPECT_THAT(dispatcher_->TakeMessages(), SizeIs(0));  // Nothing fills yet.
+  EXPECT_THAT(dispatcher_->TakeMessages(),
+              SizeIs(0));  // Nothing is best-effort yet.
 
   dispatcher_->AddWorkflow(Filler(), std::nullopt, now_);
   dispatcher_->Tick(now_, kUnix);
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -57,7 +57,7 @@
   held.amount = step.each;
   held.image = step.image;
   held.tail_target = step.tail_target;
-  if (step.fills) {
+  if (step.best_effort) {
     std::swap(held.best_effort_cpu, held.amount.cpu_millis);
     const bool added = vm.filling.count(step.image) == 0;
     vm.new_image = vm.new_image || added;
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -20,7 +20,7 @@
     shape += std::to_string(step.tasks) + "x" +
              std::to_string(step.each.cpu_millis) + "m";
     if (step.gang) shape += step.same_rack ? "+rackgang" : "+gang";
-    if (step.fills) shape += "+fills";
+    if (step.best_effort) shape += "+fills";
     if (step.long_running) shape += "+lasting";
     if (!step.required_label.empty()) shape += "+" + step.required_label;
     if (step.max_per_vm > 0) {
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -31,7 +31,7 @@
     step.tasks = 20;
     step.each = {1800, 3200, 0};
     step.declared_run = std::chrono::milliseconds(2700);
-    step.fills = true;
+    step.best_effort = true;
     step.saves_progress = true;
     step.image = NameOf("batch-", number % kFillingImages);
   }
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -149,7 +149,7 @@
   std::map<RunRef, HeldRun> held;
   PendingStops stops;           // Of held runs, and of others that it showed.
   Resources used;               // By what doesn't fill.
-  int64_t best_effort_cpu = 0;  // Asked for by what fills.
+  int64_t best_effort_cpu = 0;  // Asked for by what is best-effort.
   int64_t serving_cpu = 0;      // Part of `used` that serves.
   std::map<std::string, ServingImage> serving;
   std::map<std::string, int64_t> filling;  // By image, as asked for.
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -17,17 +17,17 @@
 // What pacing needs to know of a task.
 struct TaskTraits {
   std::string image;
-  bool fills = false;
+  bool best_effort = false;
   Duration tail_target{};  // Of a serving task; 0: it doesn't serve.
   int64_t cpu_millis = 0;  // What it would like to use.
   // Of fillers, the one with the lowest order keeps its pace longest.
   double best_effort_rank = 0;
 
-  bool paced() const { return fills || tail_target > Duration(0); }
+  bool paced() const { return best_effort || tail_target > Duration(0); }
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.image, s.fills, s.tail_target, s.cpu_millis,
+    return std::tie(s.image, s.best_effort, s.tail_target, s.cpu_millis,
                     s.best_effort_rank);
   }
 };
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -64,7 +64,7 @@
       continue;
     }
     const TaskTraits& traits = it->second.traits;
-    if (traits.fills) {
+    if (traits.best_effort) {
       seen.fillers.push_back(running.run);
       seen.fillers_work =
           seen.fillers_work || IsSeenAtWork(running, traits.cpu_millis);
@@ -99,7 +99,7 @@
                          TimePoint now) {
   for (const RunningRun& running : view.running) {
     const auto it = paced_.find(running.run);
-    if (it == paced_.end() || !it->second.traits.fills) continue;
+    if (it == paced_.end() || !it->second.traits.best_effort) continue;
     Paced& paced = it->second;
     if (!paced.answered && now - paced.ordered_at >= kPaceAnswered) {
       paced.percent = kUnknownPercent;
@@ -154,7 +154,7 @@
 
 void Executor::PaceNewFiller(const RunRef& run) {
   const auto it = paced_.find(run);
-  if (it == paced_.end() || !it->second.traits.fills) return;
+  if (it == paced_.end() || !it->second.traits.best_effort) return;
   const int percent = pacer_.PercentOf(it->second.traits.image);
   if (percent < it->second.percent) OrderPace(run, percent);
 }
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -336,8 +336,8 @@
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const RunRef later{{"later", 0, 0, 0}, 1};
   const RunRef first{{"first", 0, 0, 0}, 1};
-  Start(later, 1, {}, /*fills=*/true, /*best_effort_rank=*/9);
-  Start(first, 1, {}, /*fills=*/true, /*best_effort_rank=*/1);
+  Start(later, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/9);
+  Start(first, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/1);
   Start(serving, 1, milliseconds(20));
   AnswerAll(starts_);
   Pass(milliseconds(300));
@@ -355,7 +355,7 @@
   std::vector<RunningRun> running;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunRef run{{"w", 0, 0, i}, 1};
-    Start(run, 1, {}, /*fills=*/true, /*best_effort_rank=*/10 - i);
+    Start(run, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/10 - i);
     running.push_back({run, 100, 1600});
   }
   AnswerAll(starts_);
@@ -382,7 +382,7 @@
 TEST_F(ExecutorTest, UnansweredPaceIsOrderedAgain) {
   Register("life-1");
   Attach(1);
-  Start(kRun, 1, {}, /*fills=*/true);
+  Start(kRun, 1, {}, /*best_effort=*/true);
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
   // Another task leaves nothing of eight cores: the least share remains.
   const std::vector<RunningRun> running = {
@@ -403,7 +403,7 @@
 TEST_F(ExecutorTest, PaceThatIsAnsweredAfterANewerOneIsFollowedByAnother) {
   Register("life-1");
   Attach(1);
-  Start(kRun, 1, {}, /*fills=*/true);
+  Start(kRun, 1, {}, /*best_effort=*/true);
   AnswerAll(starts_);
   const RunRef other{{"other", 0, 0, 0}, 1};
   Pass(milliseconds(300));
@@ -481,7 +481,7 @@
   FillBesideASufferingService();
   AnswerAll(paces_);
   const RunRef fresh{{"fresh", 0, 0, 0}, 1};
-  Start(fresh, 1, {}, /*fills=*/true);
+  Start(fresh, 1, {}, /*best_effort=*/true);
   ASSERT_THAT(starts_, SizeIs(1));
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
   ASSERT_THAT(paces_, SizeIs(1));
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -90,13 +90,13 @@
   }
 
   void Start(const RunRef& run, uint64_t epoch, Duration tail_target = {},
-             bool fills = false, double best_effort_rank = 0) {
+             bool best_effort = false, double best_effort_rank = 0) {
     StartRuns starts;
     starts.epoch = epoch;
     starts.incarnation = executor_->status().incarnation;
     starts.workflow = run.task.workflow;
     starts.traits.image = "img";
-    starts.traits.fills = fills;
+    starts.traits.best_effort = best_effort;
     starts.traits.tail_target = tail_target;
     starts.traits.cpu_millis = 2000;
     starts.traits.best_effort_rank = best_effort_rank;
@@ -114,12 +114,13 @@
     }
   }
 
-  // For 1.2 s, kRun fills beside a serving task that is far over its target.
+  // For 1.2 s, kRun is a best-effort task beside a serving task that is far
+  // over its target.
   void FillBesideASufferingService() {
     Register("life-1");
     Attach(1);
     const RunRef serving{{"w", 0, 0, 1}, 1};
-    Start(kRun, 1, {}, /*fills=*/true);
+    Start(kRun, 1, {}, /*best_effort=*/true);
     Start(serving, 1, std::chrono::milliseconds(20));
     AnswerAll(starts_);
     for (int i = 0; i < 4; ++i) {
--- a/beamhill/placement/pairwise_interference.h
+++ b/beamhill/placement/pairwise_interference.h
@@ -1,5 +1,5 @@
-// How much each image that fills slows each image that serves, learned from
-// late, noisy tails of all VMs.
+// How much each image that is best-effort slows each image that serves, learned
+// from late, noisy tails of all VMs.
 //
 // Pure. One InterferenceModel for each serving image, over the shares of a
 // VM's processors that filling images use beside it.
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -82,7 +82,7 @@
       task.tail_target = kTarget;
     } else {
       task.cpu_millis = 7000;
-      task.fills = true;
+      task.best_effort = true;
       task.work = milliseconds(1700);
     }
     return task;
@@ -179,8 +179,8 @@
     starts.epoch = epoch_;
     starts.incarnation = "life-1";
     starts.workflow = workflow;
-    starts.traits = {task.image, task.fills, task.tail_target, task.cpu_millis,
-                     1};
+    starts.traits = {task.image, task.best_effort, task.tail_target,
+                     task.cpu_millis, 1};
     starts.runs = {{ref.task.index, run, "", ""}};
     executor_->OnMessage(kLink, starts);
   }
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -73,8 +73,8 @@
     Repeat(kWatchStep, [this] { Watch(); });
     time_.RunUntil(kStart + milliseconds(100));
     for (uint32_t i = 0; i < load_.serving_steps; ++i) AddServing(i);
-    Arrive(load_.filling, /*fills=*/true);
-    Arrive(load_.quick, /*fills=*/false);
+    Arrive(load_.filling, /*best_effort=*/true);
+    Arrive(load_.quick, /*best_effort=*/false);
     time_.RunUntil(kStart + load_.traffic + load_.drain);
     return Finish();
   }
@@ -141,7 +141,7 @@
     const Workflow& workflow = specs_.at(run.task.workflow);
     const WorkflowStep& step = workflow.steps[run.task.step];
     task.image = step.image;
-    task.fills = step.fills;
+    task.best_effort = step.best_effort;
     task.cpu_millis = step.each.cpu_millis;
     task.memory_mib = step.each.memory_mib;
     task.tail_target = step.tail_target;
@@ -248,19 +248,19 @@
     }
   }
 
-  void Arrive(const ReplayKind& kind, bool fills) {
+  void Arrive(const ReplayKind& kind, bool best_effort) {
     if (kind.per_s <= 0) return;
     double rate = kind.per_s;
     const Duration since = time_.now() - kStart;
     const bool in_burst =
         since >= load_.burst_at && since < load_.burst_at + load_.burst_for;
-    if (fills && in_burst) rate *= load_.burst;
+    if (best_effort && in_burst) rate *= load_.burst;
     const Seconds gap(std::exponential_distribution<double>(rate)(random_));
     const auto wait = std::chrono::duration_cast<Duration>(gap);
-    time_.After(wait, [this, &kind, fills] {
+    time_.After(wait, [this, &kind, best_effort] {
       if (time_.now() - kStart > load_.traffic) return;
-      AddWork(kind, fills);
-      Arrive(kind, fills);
+      AddWork(kind, best_effort);
+      Arrive(kind, best_effort);
     });
   }
 
@@ -278,10 +278,11 @@
     return step;
   }
 
-  void AddWork(const ReplayKind& kind, bool fills) {
+  void AddWork(const ReplayKind& kind, bool best_effort) {
     Workflow workflow;
-    workflow.id = (fills ? "fill-" : "quick-") + std::to_string(next_id_++);
-    workflow.queue = fills ? "batch" : "quick";
+    workflow.id =
+        (best_effort ? "fill-" : "quick-") + std::to_string(next_id_++);
+    workflow.queue = best_effort ? "batch" : "quick";
     workflow.service = kService;
     workflow.offered_to = kEpoch;
     workflow.policy.max_attempts = 4;
@@ -291,7 +292,7 @@
     const std::string image =
         "f" + std::to_string(static_cast<uint32_t>(
                   Uniform() * static_cast<double>(load_.filling_images)));
-    const bool saves = fills && Uniform() < load_.saving_part;
+    const bool saves = best_effort && Uniform() < load_.saving_part;
     const auto steps = std::clamp<uint32_t>(
         static_cast<uint32_t>(std::lround(kind.steps * Spread(kCpuSpread))), 1,
         5);
@@ -301,13 +302,13 @@
       const auto run = std::chrono::duration_cast<Duration>(
           kind.run * std::min(kLongestRun, Spread(kRunSpread)));
       WorkflowStep step = DrawStep(kind, run);
-      step.fills = fills;
+      step.best_effort = best_effort;
       step.saves_progress = saves;
-      if (fills) step.image = image;
+      if (best_effort) step.image = image;
       if (i > 0) step.after = {i - 1};
       truth.run.emplace_back(step.tasks, run);
       truth.failing.emplace_back();
-      for (uint32_t task = 0; fills && task < step.tasks; ++task) {
+      for (uint32_t task = 0; best_effort && task < step.tasks; ++task) {
         if (Uniform() < load_.failing_part) truth.failing.back().insert(task);
       }
       const int64_t wave = load_.vms * load_.vm.cpu_millis / kWavesOfRoom;
@@ -320,7 +321,7 @@
       workflow.steps.push_back(std::move(step));
     }
     truth.outcome.id = workflow.id;
-    truth.outcome.fills = fills;
+    truth.outcome.best_effort = best_effort;
     truth.outcome.arrived = time_.now() - kStart;
     truth.outcome.objective =
         std::chrono::duration_cast<Duration>(chain * kind.stretch) +
@@ -426,11 +427,11 @@
   return *took <= kLateFactor * objective ? kLateCredit : 0;
 }
 
-double ReplayOutcome::Earned(bool fills) const {
+double ReplayOutcome::Earned(bool best_effort) const {
   double mean = 0;
   size_t count = 0;
   for (const ReplayedWorkflow& workflow : workflows) {
-    if (workflow.fills != fills) continue;
+    if (workflow.best_effort != best_effort) continue;
     mean += workflow.core_seconds;
     ++count;
   }
@@ -439,7 +440,7 @@
   double owed = 0;
   double earned = 0;
   for (const ReplayedWorkflow& workflow : workflows) {
-    if (workflow.fills != fills) continue;
+    if (workflow.best_effort != best_effort) continue;
     const double worth =
         std::min(4.0, 0.3 + 0.7 * workflow.core_seconds / mean);
     owed += worth;
--- a/beamhill/replay/load_replay.h
+++ b/beamhill/replay/load_replay.h
@@ -92,7 +92,7 @@
 // What became of one filling or quick workflow.
 struct ReplayedWorkflow {
   std::string id;
-  bool fills = false;
+  bool best_effort = false;
   Duration arrived{};  // Since the start.
   Duration objective{};
   double core_seconds = 0;  // Its true work.
@@ -118,7 +118,7 @@
 
   // Earned over owed worth of the filling or the quick workflows. A workflow
   // is worth 0.3 and 0.7 times its work relative to the mean, at most 4.
-  double Earned(bool fills) const;
+  double Earned(bool best_effort) const;
   Duration LongestIdle() const;
   size_t Unfinished() const;
 };
--- a/beamhill/replay/load_replay_test.cc
+++ b/beamhill/replay/load_replay_test.cc
@@ -115,9 +115,9 @@
     ReplayLoad load = FullOfServices(seed);
     const ReplayOutcome adaptive = PlayLoad(load);
     EXPECT_LT(ToMillis(adaptive.longest_harm), ToMillis(kHarmBound));
-    guarded += adaptive.Earned(/*fills=*/true);
+    guarded += adaptive.Earned(/*best_effort=*/true);
     load.always_cautious = true;
-    held_back += PlayLoad(load).Earned(/*fills=*/true);
+    held_back += PlayLoad(load).Earned(/*best_effort=*/true);
   }
   EXPECT_GT(guarded, 1.25 * held_back);
 }
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -62,10 +62,10 @@
   Resources used;
   for (const auto& [ref, other] : runs_) {
     used.memory_mib += other.task.memory_mib;
-    if (!other.task.fills) used.cpu_millis += other.task.cpu_millis;
+    if (!other.task.best_effort) used.cpu_millis += other.task.cpu_millis;
   }
-  Resources need{run.task.fills ? 0 : run.task.cpu_millis, run.task.memory_mib,
-                 0};
+  Resources need{run.task.best_effort ? 0 : run.task.cpu_millis,
+                 run.task.memory_mib, 0};
   if (!(size_ - used).Holds(need)) {
     RunnerReply refused = Done();
     refused.verdict = RunnerVerdict::kNoRoom;
@@ -139,7 +139,7 @@
   double wanted = 0;
   for (const auto& [ref, run] : runs_) {
     const auto cpu = static_cast<double>(run.task.cpu_millis);
-    if (run.task.fills) {
+    if (run.task.best_effort) {
       wanted += cpu * run.percent / kPercent;
     } else {
       free -= cpu * (run.task.lasts ? physics_.serving_use : 1);
@@ -156,11 +156,12 @@
   std::map<std::string, double> shares;
   std::vector<std::pair<RunRef, RunEndKind>> over;
   for (auto& [ref, run] : runs_) {
-    const double pace = run.task.fills ? scale * run.percent / kPercent : 1;
+    const double pace =
+        run.task.best_effort ? scale * run.percent / kPercent : 1;
     const double used = pace * static_cast<double>(run.task.cpu_millis);
     run.used_cpu = keep_use * run.used_cpu + (1 - keep_use) * used;
     run.done_seconds += pace * seconds;
-    if (run.task.fills) {
+    if (run.task.best_effort) {
       shares[run.task.image] += used / static_cast<double>(size_.cpu_millis);
       filled_core_seconds_ += used / kMillisOfCore * seconds;
     }
--- a/beamhill/replay/replay_runner.h
+++ b/beamhill/replay/replay_runner.h
@@ -27,7 +27,7 @@
 // What a task is in truth, which the scheduler only sees by its effects.
 struct ReplayTask {
   std::string image;
-  bool fills = false;
+  bool best_effort = false;
   int64_t cpu_millis = 0;
   int64_t memory_mib = 0;
   Duration work{};  // At full pace; lasting tasks have none.
--- a/beamhill/workflow/workflow.h
+++ b/beamhill/workflow/workflow.h
@@ -36,7 +36,7 @@
   bool same_rack = false;       // A gang that is slower when spread.
   bool redundant = false;       // Copies of a task may run side by side.
   bool long_running = false;    // Runs until the workflow is cancelled.
-  bool fills = false;           // Takes processor time that others leave.
+  bool best_effort = false;     // Takes processor time that others leave.
   uint32_t max_per_vm = 0;      // Most tasks of the step on a VM; 0: any.
   uint32_t may_be_away = 0;     // Long-running tasks we may take away at once.
   std::string required_label;   // A label the VM must have; empty: any.
@@ -47,9 +47,9 @@
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.tasks, s.each, s.declared_run, s.after, s.saves_progress,
-                    s.gang, s.same_rack, s.redundant, s.long_running, s.fills,
-                    s.max_per_vm, s.may_be_away, s.required_label, s.near_rack,
-                    s.image, s.tail_target);
+                    s.gang, s.same_rack, s.redundant, s.long_running,
+                    s.best_effort, s.max_per_vm, s.may_be_away,
+                    s.required_label, s.near_rack, s.image, s.tail_target);
   }
 };
 
