--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -238,7 +238,7 @@
   uint64_t epoch = 0;              // Of its own ownership; 0: it owns nothing.
   uint64_t known_epoch = 0;        // Of the latest owner that it knows.
   Duration store_silence{};        // Since the store last answered the sender.
-  double strength = 1;             // Of its VM, see HostStrength.
+  double host_capacity = 1;        // Of its VM, see HostStrength.
   uint64_t settings_version = 0;   // Of the newest service settings it knows.
   std::vector<std::string> peers;  // Owner: addresses of some that follow it.
   Evacuations evacuations;         // The newest that the sender knows.
@@ -246,8 +246,8 @@
   template <typename S>
   static auto Fields(S& s) {
     return std::tie(s.name, s.address, s.incarnation, s.epoch, s.known_epoch,
-                    s.store_silence, s.strength, s.settings_version, s.peers,
-                    s.evacuations);
+                    s.store_silence, s.host_capacity, s.settings_version,
+                    s.peers, s.evacuations);
   }
 };
 
--- a/beamhill/replay/fleet_start.cc
+++ b/beamhill/replay/fleet_start.cc
@@ -109,7 +109,7 @@
     hooks.now = [this] { return time_.now(); };
     hooks.random = [this] { return Chance(); };
     hooks.claim_delay = [this] {
-      return SpreadClaimDelay(/*strength=*/1, /*others=*/0, Chance());
+      return SpreadClaimDelay(/*host_capacity=*/1, /*others=*/0, Chance());
     };
     hooks.on_follow = [](const OwnerRecord&) {};
     hooks.on_taken = [this](uint64_t, bool, bool) { OnTaken(); };
--- a/beamhill/scheduler/handover.cc
+++ b/beamhill/scheduler/handover.cc
@@ -32,8 +32,8 @@
 // An owner asks the store at least each 400 ms, so that this is a second
 // call without an answer.
 constexpr Duration kCutOffAfter = std::chrono::milliseconds(1000);
-// A weak owner gives way to a host of this many times its strength, but not
-// before it has got somewhere: each change costs a pause of some 0.3 s.
+// A weak owner gives way to a host of this many times its host capacity, but
+// not before it has got somewhere: each change costs a pause of some 0.3 s.
 constexpr double kMuchStronger = 2;
 constexpr Duration kSettledAfter = std::chrono::seconds(2);
 
@@ -53,17 +53,17 @@
   return std::min(cores / kCoresNeeded, link_mbps / kLinkMbpsNeeded);
 }
 
-Duration ClaimDelay(double strength) {
-  const double missing = 1 - std::clamp(strength, 0.0, 1.0);
+Duration ClaimDelay(double host_capacity) {
+  const double missing = 1 - std::clamp(host_capacity, 0.0, 1.0);
   return std::chrono::duration_cast<Duration>(missing * kLongestClaimDelay);
 }
 
-Duration SpreadClaimDelay(double strength, size_t others, double chance) {
+Duration SpreadClaimDelay(double host_capacity, size_t others, double chance) {
   if (others == 0 || others > kMostSlots) {
-    return ClaimDelay(strength) + DelayAmongUnknown(chance);
+    return ClaimDelay(host_capacity) + DelayAmongUnknown(chance);
   }
   const auto slots = static_cast<Duration::rep>(std::max(others, kLeastSlots));
-  return ClaimDelay(strength) +
+  return ClaimDelay(host_capacity) +
          std::chrono::duration_cast<Duration>(chance * slots * kClaimSlot);
 }
 
@@ -72,7 +72,7 @@
   std::optional<size_t> best;
   const auto rank = [&](size_t i) {
     // More than enough counts for nothing.
-    return std::pair(std::min(peers[i].strength, 1.0),
+    return std::pair(std::min(peers[i].host_capacity, 1.0),
                      -(peers[i].store_silence + peers[i].heard_ago));
   };
   for (size_t i = 0; i < peers.size(); ++i) {
@@ -88,10 +88,10 @@
   if (owner.store_silence >= kCutOffAfter) {
     // A weak peer is left time for stronger ones to be served as well.
     return owner.peer_served_for >=
-           kServedLongEnough + ClaimDelay(peer.strength);
+           kServedLongEnough + ClaimDelay(peer.host_capacity);
   }
-  return owner.strength < 1 && owner.owned_for >= kSettledAfter &&
-         peer.strength >= kMuchStronger * owner.strength;
+  return owner.host_capacity < 1 && owner.owned_for >= kSettledAfter &&
+         peer.host_capacity >= kMuchStronger * owner.host_capacity;
 }
 
 }  // namespace beamhill
--- a/beamhill/scheduler/handover.h
+++ b/beamhill/scheduler/handover.h
@@ -21,27 +21,27 @@
 // above it has enough.
 double HostStrength(double cores, double link_mbps);
 
-// How long a host of that strength leaves a free row to stronger ones.
-Duration ClaimDelay(double strength);
+// How long a host of that host capacity leaves a free row to stronger ones.
+Duration ClaimDelay(double host_capacity);
 
 // How long a scheduler that knows of so many others leaves a free row to them,
-// by its strength and by chance: so that of any number one or two claim it at
-// the same moment. One that knows of none may have just started beside
+// by its host capacity and by chance: so that of any number one or two claim it
+// at the same moment. One that knows of none may have just started beside
 // hundreds. `chance` is uniform in [0, 1).
-Duration SpreadClaimDelay(double strength, size_t others, double chance);
+Duration SpreadClaimDelay(double host_capacity, size_t others, double chance);
 
 // A peer, by its last heartbeat.
 struct PeerView {
   Duration heard_ago{};
   Duration store_silence{};  // Since the store last answered it, then.
-  double strength = 1;
+  double host_capacity = 1;
 };
 
 // The owner itself.
 struct OwnerView {
   Duration store_silence{};
   Duration owned_for{};
-  double strength = 1;
+  double host_capacity = 1;
   // For how long some peer has been served while this owner was not.
   Duration peer_served_for{};
 };
--- a/beamhill/scheduler/handover_test.cc
+++ b/beamhill/scheduler/handover_test.cc
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-PeerView Served(double strength, int silence_ms = 100) {
-  return {milliseconds(50), milliseconds(silence_ms), strength};
+PeerView Served(double host_capacity, int silence_ms = 100) {
+  return {milliseconds(50), milliseconds(silence_ms), host_capacity};
 }
 
-OwnerView Owner(double strength, int silence_ms) {
-  return {milliseconds(silence_ms), seconds(10), strength, seconds(5)};
+OwnerView Owner(double host_capacity, int silence_ms) {
+  return {milliseconds(silence_ms), seconds(10), host_capacity, seconds(5)};
 }
 
 TEST(HandoverTest, StrengthIsWhatIsScarcest) {
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -101,7 +101,8 @@
   hooks.claim_delay = [this] {
     if (settings_.claim_delay) return *settings_.claim_delay;
     const double chance = std::uniform_real_distribution<double>(0, 1)(random_);
-    return SpreadClaimDelay(settings_.strength, known_peers_.size(), chance);
+    return SpreadClaimDelay(settings_.host_capacity, known_peers_.size(),
+                            chance);
   };
   hooks.on_follow = [this](const OwnerRecord& owner) { Follow(owner); };
   hooks.on_taken = [this](uint64_t epoch, bool released, bool first) {
@@ -164,7 +165,7 @@
 
 PeerView Scheduler::ViewOf(const Peer& peer) {
   return {BootClock::now() - peer.heard_at, peer.last.store_silence,
-          peer.last.strength};
+          peer.last.host_capacity};
 }
 
 const Scheduler::Peer* Scheduler::Successor(Duration served_within) const {
@@ -190,8 +191,8 @@
 void Scheduler::HandOverIfDue() {
   if (!keeper_->owns()) return;
   const TimePoint now = BootClock::now();
-  OwnerView own = {hooks_.store_silence(), now - taken_at_, settings_.strength,
-                   Duration(0)};
+  OwnerView own = {hooks_.store_silence(), now - taken_at_,
+                   settings_.host_capacity, Duration(0)};
   const Duration served_within =
       own.store_silence < kProbeAfter ? kServedInCalm : kServedJustNow;
   const Peer* peer = Successor(served_within);
@@ -210,8 +211,8 @@
   Log(LogLevel::kInfo, "giving_way",
       {{"to", peer->last.name},
        {"store_silence_ms", ToMillis(own.store_silence)},
-       {"strength", own.strength},
-       {"peer_strength", peer->last.strength}});
+       {"strength", own.host_capacity},
+       {"peer_strength", peer->last.host_capacity}});
   const uint64_t epoch = keeper_->epoch();
   keeper_->HandOverToPeer();
   OfferHandOver(epoch, served_within);
--- a/beamhill/scheduler/scheduler.h
+++ b/beamhill/scheduler/scheduler.h
@@ -44,8 +44,9 @@
   // How long an owner may act without a transaction that took effect.
   Duration authority_term = std::chrono::seconds(8);
   // Of this VM, see HostStrength.
-  double strength = 1;
-  // How long it leaves a free row to others; by its strength when not given.
+  double host_capacity = 1;
+  // How long it leaves a free row to others; by its host capacity when not
+  // given.
   std::optional<Duration> claim_delay;
 };
 
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -44,7 +44,7 @@
   beat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
   beat.known_epoch = keeper_->record().epoch;
   beat.store_silence = hooks_.store_silence();
-  beat.strength = settings_.strength;
+  beat.host_capacity = settings_.host_capacity;
   beat.settings_version = hooks_.settings_version();
   beat.evacuations = hooks_.evacuations();
   return beat;
--- a/beamhill/standby/standby_owner.cc
+++ b/beamhill/standby/standby_owner.cc
@@ -69,7 +69,7 @@
   SchedulerSettings settings;
   settings.name = settings_.name;
   settings.peers = settings_.peers;
-  settings.strength = kStrength;
+  settings.host_capacity = kStrength;
   settings.claim_delay = kClaimDelay;
   scheduler_metrics_ = std::make_unique<Metrics>();
   auto scheduler = Scheduler::Start(loop_, settings, table_, HooksOfScheduler(),
