--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -134,7 +134,8 @@
   EXPECT_THAT(Tick().starts, IsEmpty());
   const auto requests = dispatcher_->TakeAdviceRequests();
   ASSERT_THAT(requests, SizeIs(1));
-  EXPECT_THAT(requests[0].lives, ElementsAre("vm-1-life-1", "vm-2-life-1"));
+  EXPECT_THAT(requests[0].incarnations,
+              ElementsAre("vm-1-life-1", "vm-2-life-1"));
   dispatcher_->OnAdvice(requests[0].step, Advice{{{"vm-2-life-1", "t"}}}, now_);
   dispatcher_->Tick(now_, kUnix);
   int starts = 0;
--- a/beamhill/dispatch/dispatch_types.h
+++ b/beamhill/dispatch/dispatch_types.h
@@ -89,7 +89,7 @@
 // Asks the placement advisor which of these runners may run a step.
 struct AdviceRequest {
   TaskRef step;  // The index means nothing.
-  std::vector<std::string> lives;
+  std::vector<std::string> incarnations;
 };
 
 // What it answered: the runners that may, each with a ticket for its starts.
