--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -45,14 +45,14 @@
   const int64_t whole = state.status.capacity.cpu_millis;
   if (pressure.epoch != options_.epoch || whole <= 0) return;
   ClassLoads loads;
-  for (const BestEffortLoad& load : pressure.filling) {
+  for (const BestEffortLoad& load : pressure.best_effort_loads) {
     loads[load.image] =
         static_cast<double>(load.cpu_millis) / static_cast<double>(whole);
   }
   ForgetDerived(state);
   state.paces.clear();
   state.best_effort_cpu_in_use = 0;
-  for (const BestEffortLoad& load : pressure.filling) {
+  for (const BestEffortLoad& load : pressure.best_effort_loads) {
     state.paces[load.image] = load.percent;
     state.best_effort_cpu_in_use += load.cpu_millis;
   }
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -61,7 +61,7 @@
   pressure.serving.push_back({NameOf("service-", (vm + 1) % kServingImages),
                               std::chrono::milliseconds(12)});
   for (int64_t i = 0; i < 3; ++i) {
-    pressure.filling.push_back(
+    pressure.best_effort_loads.push_back(
         {NameOf("batch-", (vm + i) % kFillingImages), 1500, 100});
   }
   return pressure;
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -82,11 +82,11 @@
 struct VmInterference {
   uint64_t epoch = 0;
   std::vector<ServingTailLatency> serving;
-  std::vector<BestEffortLoad> filling;
+  std::vector<BestEffortLoad> best_effort_loads;
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.epoch, s.serving, s.filling);
+    return std::tie(s.epoch, s.serving, s.best_effort_loads);
   }
 };
 
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -221,7 +221,7 @@
   for (const auto& [image, share] : filling) {
     const double cpu =
         share.used * static_cast<double>(status_.capacity.cpu_millis);
-    pressure.filling.push_back(
+    pressure.best_effort_loads.push_back(
         {image, static_cast<int64_t>(cpu), pacer_.PercentOf(image)});
   }
   calm_told_ = owner_link_ && serving.empty() && filling.empty();
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -155,7 +155,7 @@
 TEST_F(ExecutorReportsTest, PressureOfTasksThatAreGoneIsTakenBackOnEachLink) {
   FillBesideASufferingService();
   ASSERT_THAT(Sent<VmInterference>(), Not(IsEmpty()));
-  EXPECT_LT(Sent<VmInterference>().back().filling[0].percent, 100);
+  EXPECT_LT(Sent<VmInterference>().back().best_effort_loads[0].percent, 100);
   const auto list_nothing_for = [this](Duration time) {
     const TimePoint until = now_ + time;
     while (now_ < until) {
@@ -166,7 +166,7 @@
   sent_.clear();
   list_nothing_for(seconds(2));
   ASSERT_THAT(Sent<VmInterference>(), SizeIs(1));
-  EXPECT_THAT(Sent<VmInterference>()[0].filling, IsEmpty());
+  EXPECT_THAT(Sent<VmInterference>()[0].best_effort_loads, IsEmpty());
   executor_->OnLinkDown(kLink);
   list_nothing_for(seconds(1));
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
