--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -18,7 +18,8 @@
                   const InterferenceWeight& told) {
   const Duration slack = std::max(
       kWeightSlack, std::chrono::abs(told.per_vm) / kWeightSlackDivisor);
-  return now.serving == told.serving && now.filling == told.filling &&
+  return now.serving == told.serving &&
+         now.best_effort_image == told.best_effort_image &&
          std::chrono::abs(now.per_vm - told.per_vm) <= slack;
 }
 
@@ -29,7 +30,8 @@
   auto it = told.begin();
   for (const InterferenceWeight& weight : now) {
     const auto same = [&](const InterferenceWeight& t) {
-      return t.serving == weight.serving && t.filling == weight.filling;
+      return t.serving == weight.serving &&
+             t.best_effort_image == weight.best_effort_image;
     };
     it = std::find_if(it, told.end(), same);
     if (it == told.end() || !SameInEffect(weight, *it)) return false;
@@ -80,7 +82,7 @@
     PairwiseInterference::Summary summary{image.serving, image.alone, {}};
     for (const InterferenceWeight& weight : image.weights) {
       summary.weights.push_back(
-          {weight.serving, weight.filling, weight.per_vm});
+          {weight.serving, weight.best_effort_image, weight.per_vm});
     }
     interference_.Recall(summary);
   }
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -32,7 +32,7 @@
   std::vector<InterferenceWeight> taken;
   for (auto& entry : news) {
     const InterferenceWeight& weight = entry.second;
-    logged_weights_[{weight.serving, weight.filling}] = weight.per_vm;
+    logged_weights_[{weight.serving, weight.best_effort_image}] = weight.per_vm;
     taken.push_back(weight);
   }
   return taken;
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -93,12 +93,12 @@
 // What a filling image that had a whole VM would add to a serving one's tail.
 struct InterferenceWeight {
   std::string serving;
-  std::string filling;
+  std::string best_effort_image;
   Duration per_vm{};
 
   template <typename S>
   static auto Fields(S& s) {
-    return std::tie(s.serving, s.filling, s.per_vm);
+    return std::tie(s.serving, s.best_effort_image, s.per_vm);
   }
 };
 
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -239,7 +239,7 @@
 void Executor::OnWeights(const InterferenceWeights& learned) {
   Pacer::Weights weights;
   for (const InterferenceWeight& weight : learned.weights) {
-    weights[{weight.serving, weight.filling}] = weight.per_vm;
+    weights[{weight.serving, weight.best_effort_image}] = weight.per_vm;
   }
   pacer_.SetWeights(std::move(weights));
 }
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -53,8 +53,8 @@
   for (const InterferenceWeight& weight : dispatcher_->TakeNews(kPairsOfLine)) {
     const auto millis = static_cast<int64_t>(ToMillis(weight.per_vm));
     if (!pairs.empty()) pairs += " ";
-    pairs +=
-        weight.filling + ">" + weight.serving + ":" + std::to_string(millis);
+    pairs += weight.best_effort_image + ">" + weight.serving + ":" +
+             std::to_string(millis);
   }
   if (pairs.empty()) return;
   Log(LogLevel::kInfo, "pressure_learned",
