--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "beamhill/dispatch/dispatcher.h"
-#include "beamhill/dispatch/life_name.h"
+#include "beamhill/dispatch/incarnation_name.h"
 
 namespace beamhill {
 namespace {
--- a/beamhill/dispatch/life_name.h
+++ b/beamhill/dispatch/incarnation_name.h
@@ -8,8 +8,8 @@
 //   IncarnationName("i-7f3a", UnixMillis(1764745200000));  //
 //   "i-7f3a/1764745200000" RunnerOf("i-7f3a/1764745200000");               //
 //   "i-7f3a"
-#ifndef BEAMHILL_DISPATCH_LIFE_NAME_H_
-#define BEAMHILL_DISPATCH_LIFE_NAME_H_
+#ifndef BEAMHILL_DISPATCH_INCARNATION_NAME_H_
+#define BEAMHILL_DISPATCH_INCARNATION_NAME_H_
 
 #include <optional>
 #include <string>
@@ -30,4 +30,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_DISPATCH_LIFE_NAME_H_
+#endif  // BEAMHILL_DISPATCH_INCARNATION_NAME_H_
--- a/beamhill/dispatch/life_name_test.cc
+++ b/beamhill/dispatch/incarnation_name_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/dispatch/life_name.h"
+#include "beamhill/dispatch/incarnation_name.h"
 
 #include <gtest/gtest.h>
 
