--- a/beamhill/dispatch/filler_load.cc
+++ b/beamhill/dispatch/pace_policy_selector.cc
@@ -1,4 +1,4 @@
-#include "beamhill/dispatch/filler_load.h"
+#include "beamhill/dispatch/pace_policy_selector.h"
 
 #include <algorithm>
 
--- a/beamhill/dispatch/filler_load.h
+++ b/beamhill/dispatch/pace_policy_selector.h
@@ -13,8 +13,8 @@
 //   PacePolicySelector load;
 //   load.Observe(asked_cores, free_cores);
 //   if (load.policy() == PacePolicy::kGuarded) ...
-#ifndef BEAMHILL_DISPATCH_FILLER_LOAD_H_
-#define BEAMHILL_DISPATCH_FILLER_LOAD_H_
+#ifndef BEAMHILL_DISPATCH_PACE_POLICY_SELECTOR_H_
+#define BEAMHILL_DISPATCH_PACE_POLICY_SELECTOR_H_
 
 #include "beamhill/dispatch/pacing_messages.h"
 
@@ -37,4 +37,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_DISPATCH_FILLER_LOAD_H_
+#endif  // BEAMHILL_DISPATCH_PACE_POLICY_SELECTOR_H_
