--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -43,7 +43,7 @@
 #include "beamhill/dispatch/internal/dispatch_state.h"
 #include "beamhill/dispatch/pace_policy_selector.h"
 #include "beamhill/dispatch/run_log.h"
-#include "beamhill/dispatch/run_times.h"
+#include "beamhill/dispatch/run_time_estimator.h"
 #include "beamhill/dispatch/yield_order.h"
 #include "beamhill/placement/pairwise_interference.h"
 #include "beamhill/placement/serving_layout.h"
--- a/beamhill/dispatch/run_times.cc
+++ b/beamhill/dispatch/run_time_estimator.cc
@@ -1,4 +1,4 @@
-#include "beamhill/dispatch/run_times.h"
+#include "beamhill/dispatch/run_time_estimator.h"
 
 #include <algorithm>
 #include <chrono>
--- a/beamhill/dispatch/run_times.h
+++ b/beamhill/dispatch/run_time_estimator.h
@@ -11,8 +11,8 @@
 //   RunTimeEstimator times;
 //   times.Observe("batch", declared, measured);
 //   Duration run = times.Expect("batch", declared);
-#ifndef BEAMHILL_DISPATCH_RUN_TIMES_H_
-#define BEAMHILL_DISPATCH_RUN_TIMES_H_
+#ifndef BEAMHILL_DISPATCH_RUN_TIME_ESTIMATOR_H_
+#define BEAMHILL_DISPATCH_RUN_TIME_ESTIMATOR_H_
 
 #include <map>
 #include <string>
@@ -47,4 +47,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_DISPATCH_RUN_TIMES_H_
+#endif  // BEAMHILL_DISPATCH_RUN_TIME_ESTIMATOR_H_
--- a/beamhill/dispatch/run_times_test.cc
+++ b/beamhill/dispatch/run_time_estimator_test.cc
@@ -1,5 +1,5 @@
 // What guesses and times of a queue teach.
-#include "beamhill/dispatch/run_times.h"
+#include "beamhill/dispatch/run_time_estimator.h"
 
 #include <gtest/gtest.h>
 
