--- a/beamhill/dispatch/yield_order.cc
+++ b/beamhill/dispatch/best_effort_rank.cc
@@ -1,4 +1,4 @@
-#include "beamhill/dispatch/yield_order.h"
+#include "beamhill/dispatch/best_effort_rank.h"
 
 #include <algorithm>
 #include <chrono>
--- a/beamhill/dispatch/yield_order.h
+++ b/beamhill/dispatch/best_effort_rank.h
@@ -9,8 +9,8 @@
 // and executor_pacing.cc.
 //
 //   double order = BestEffortRank(Lateness::kInTime, /*work=*/12.5, due);
-#ifndef BEAMHILL_DISPATCH_YIELD_ORDER_H_
-#define BEAMHILL_DISPATCH_YIELD_ORDER_H_
+#ifndef BEAMHILL_DISPATCH_BEST_EFFORT_RANK_H_
+#define BEAMHILL_DISPATCH_BEST_EFFORT_RANK_H_
 
 #include "beamhill/base/time.h"
 
@@ -27,4 +27,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_DISPATCH_YIELD_ORDER_H_
+#endif  // BEAMHILL_DISPATCH_BEST_EFFORT_RANK_H_
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -38,13 +38,13 @@
 #include <vector>
 
 #include "beamhill/base/time.h"
+#include "beamhill/dispatch/best_effort_rank.h"
 #include "beamhill/dispatch/dispatch_messages.h"
 #include "beamhill/dispatch/dispatch_types.h"
 #include "beamhill/dispatch/internal/dispatch_state.h"
 #include "beamhill/dispatch/pace_policy_selector.h"
 #include "beamhill/dispatch/run_log.h"
 #include "beamhill/dispatch/run_time_estimator.h"
-#include "beamhill/dispatch/yield_order.h"
 #include "beamhill/placement/pairwise_interference.h"
 #include "beamhill/placement/serving_layout.h"
 #include "beamhill/placement/worker_health.h"
