--- a/beamhill/dispatch/dispatch_messages.cc
+++ b/beamhill/dispatch/dispatch_messages.cc
@@ -9,7 +9,7 @@
 using messages_internal::Json;
 using messages_internal::ParseCbor;
 
-// Each structure lists its own fields.
+// Provides the codec with the fields of each structure, in wire order.
 struct DispatchFields {
   template <typename T>
   static auto Of(T& v) {
@@ -80,8 +80,9 @@
 Result<Record> DecodeRecord(std::string_view bytes) {
   Record record;
   if (!Codec::From(ParseCbor(bytes), &record)) {
-    return Error{ErrorCode::kInternal, "a stored record has another shape",
-                 "it was written by another version of beamhill"};
+    return Error{ErrorCode::kInternal,
+                 "a stored record does not have the expected fields",
+                 "check whether another version of beamhill wrote it"};
   }
   return record;
 }
--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -1,8 +1,12 @@
-// The messages between the scheduler's processes on a platform that lends
-// VMs with their own task runners.
+// Messages between schedulers and executors, on a platform whose VMs come with
+// their own task runners, and the records that schedulers store.
 //
-// The owner (one scheduler process) dials each VM's executor and attaches;
-// the other schedulers dial the owner. Both kinds of link carry this one set.
+// The owner, one of the schedulers, connects to the executor of each VM and
+// attaches to it; the other schedulers connect to the owner. Links of both
+// kinds carry the same set of messages.
+//
+//   link.Send(EncodeDispatch(Attach{"scheduler-1", /*epoch=*/3}));
+//   Result<DispatchMessage> message = DecodeDispatch(bytes);
 #ifndef BEAMHILL_DISPATCH_DISPATCH_MESSAGES_H_
 #define BEAMHILL_DISPATCH_DISPATCH_MESSAGES_H_
 
@@ -23,8 +27,8 @@
 
 namespace beamhill {
 
-// Owner to executor, first on a link: obey this epoch from now on and answer
-// with the whole inventory.
+// Owner to executor, first message on a link: reject lower epochs from now on
+// and reply with a VmInventory.
 struct Attach {
   std::string owner;
   uint64_t epoch = 0;
@@ -35,11 +39,11 @@
   }
 };
 
-// Owner to executor, in answer to a heartbeat: what runs may run on for
-// `term` from the echoed stamp.
+// Owner to executor, in reply to a VmHeartbeat: the VM may keep running its
+// tasks until `echoed_stamp` + `term`.
 struct RenewLease {
   uint64_t epoch = 0;
-  TimePoint echoed_stamp{};
+  TimePoint echoed_stamp{};  // `stamp` of the heartbeat.
   Duration term{};
 
   template <typename S>
@@ -48,11 +52,12 @@
   }
 };
 
+// One run of a StartRuns message.
 struct StartRun {
-  uint32_t index = 0;
+  uint32_t index = 0;  // Of the task in its step.
   uint64_t run = 0;
-  std::string checkpoint;
-  std::string ticket;  // Of the placement advisor; empty: none is needed.
+  std::string checkpoint;  // To resume from; empty: starts from the beginning.
+  std::string ticket;      // Of the placement advisor; empty: none is needed.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -60,7 +65,7 @@
   }
 };
 
-// Owner to executor: start these tasks of one step.
+// Owner to executor: start these runs of one step.
 struct StartRuns {
   uint64_t epoch = 0;
   std::string
@@ -71,11 +76,11 @@
   std::string payload;
   TaskTraits traits;
   std::vector<StartRun> runs;
-  // By the executor's clock: an order that comes later was held up on its way,
-  // and the owner may know by now that the VM must not run it.
+  // Runs that have not started by then, on the executor's clock, must not
+  // start: the message was delayed, and the owner's decision may have changed.
   TimePoint latest_start = TimePoint::max();
-  // The owner does not know yet that any task of the workflow has begun, and is
-  // to hear of the first that does.
+  // Report the first run of the workflow that begins: the owner does not know
+  // of one yet.
   bool report_begin = false;
 
   template <typename S>
@@ -86,11 +91,11 @@
   }
 };
 
-// Users allow so long from the cancellation of a workflow until nothing of it
-// runs.
+// Longest time that users accept between the cancellation of a workflow and the
+// end of its last run.
 inline constexpr Duration kCancelLimit = std::chrono::seconds(3);
 
-// Owner to executor: stop these runs, or make sure that they never begin.
+// Owner to executor: stop these runs, or prevent them from starting.
 struct StopRuns {
   uint64_t epoch = 0;
   std::string incarnation;
@@ -102,7 +107,8 @@
   }
 };
 
-// Owner to executor: ends up to this number are durable.
+// Owner to executor: all ends with numbers up to `through` are stored, so the
+// runner can forget them.
 struct EndsAcknowledged {
   uint64_t epoch = 0;
   std::string incarnation;
@@ -114,10 +120,10 @@
   }
 };
 
-// Executor to owner, twice a second. `epoch` is the highest that it obeys.
+// Executor to owner, twice a second.
 struct VmHeartbeat {
-  uint64_t epoch = 0;
-  TimePoint stamp{};
+  uint64_t epoch = 0;  // Highest epoch that the executor has seen.
+  TimePoint stamp{};   // Executor's clock when it was sent.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -125,17 +131,19 @@
   }
 };
 
-// What the runner on a VM says of itself. Executor to owner, on each change.
+// Executor to owner: the state of the VM's runner. Sent on each change.
 struct VmStatus {
-  std::string incarnation;  // Names this run of the runner; empty: none is up.
+  std::string incarnation;  // See IncarnationName; empty: no runner is up.
   std::string service;
   std::string hall;
   std::string rack;
   std::vector<std::string> labels;
   Resources capacity;
   bool draining = false;
-  Duration remaining{};  // While draining: the least time that is left.
-  Duration cold{};       // How much longer it is slow after its start.
+  // While draining: the VM remains available for at least this long.
+  Duration remaining{};
+  // How much longer the runner is slow because it has just started.
+  Duration cold{};
 
   template <typename S>
   static auto Fields(S& s) {
@@ -144,7 +152,8 @@
   }
 };
 
-// One end as the runner lists it. Numbers rise within an incarnation.
+// End of a run, as listed by the runner. Numbers increase within an incarnation
+// of the runner.
 struct RunEnd {
   uint64_t number = 0;
   RunRef run;
@@ -157,18 +166,18 @@
   }
 };
 
-// For so long after its start a run may be what takes its runner down; most of
-// it is for starts that are slow to take effect.
+// A run that started at most this long before its runner crashed may have
+// caused the crash. Most of this time allows for starts that take effect late.
 inline constexpr Duration kCrashWindow = std::chrono::seconds(1);
 
 // A incarnation of a runner that is over, as its executor last saw it.
 struct PastIncarnation {
   std::string incarnation;
-  bool announced = false;     // It had said that it leaves.
-  std::vector<RunEnd> ended;  // Listed and not settled.
-  // What had begun within kCrashWindow of its last sign of life.
+  bool announced = false;     // The runner had announced its shutdown.
+  std::vector<RunEnd> ended;  // Listed by the runner, not acknowledged.
+  // Runs that began within kCrashWindow of the runner's last response.
   std::vector<RunRef> just_begun;
-  std::vector<RunRef> others;  // What else was last seen to run there.
+  std::vector<RunRef> others;  // The other runs that were last seen running.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -177,14 +186,17 @@
   }
 };
 
-// Executor to owner: everything on the VM, asked of the runner under `epoch`.
+// Executor to owner, in reply to Attach: all runs on the VM, as the runner
+// reported them when it was asked under `epoch`.
 struct VmInventory {
   uint64_t epoch = 0;
   VmStatus status;
   std::vector<RunRef> running;
-  std::vector<RunRef> pending;  // Ordered under this epoch, not settled yet.
+  // Starts and stops ordered under this epoch whose outcome is not known yet.
+  std::vector<RunRef> pending;
   std::vector<RunEnd> ended;
-  // Those that ended of late, the newest last, whoever was told of them.
+  // Incarnations that ended recently, newest last, even if an earlier owner was
+  // told of them.
   std::vector<PastIncarnation> past_incarnations;
 
   template <typename S>
@@ -194,17 +206,22 @@
   }
 };
 
+// Why a run did not start, and never will.
 enum class NotBegunReason : uint8_t {
-  kStopped,      // A stop made sure that it never begins.
-  kNoRoom,       // The runner holds too much already.
-  kFenced,       // The runner has seen a later epoch.
-  kOutdated,     // The run or its lease end is too old.
-  kNotAllowed,   // The VM may not run the step.
-  kUnhealthy,    // The runner turned it away, or another incarnation answers.
-  kUnreachable,  // Nobody answers where the runner was.
+  kStopped,  // A stop arrived first.
+  kNoRoom,   // The runner lacks free capacity.
+  kFenced,   // The runner has seen a higher epoch.
+  // The run, its start order or its lease is outdated, or the runner is
+  // shutting down.
+  kOutdated,
+  kNotAllowed,   // The VM is not allowed to run the step.
+  kUnhealthy,    // The runner refused it for another reason.
+  kUnreachable,  // The runner's incarnation no longer answers.
 };
+// Name of the reason in logs, such as "no_room".
 std::string_view NotBegunReasonName(NotBegunReason reason);
 
+// A run that did not start.
 struct RunNotBegun {
   RunRef run;
   NotBegunReason reason = NotBegunReason::kStopped;
@@ -215,13 +232,14 @@
   }
 };
 
-// Executor to owner, as it happens. Ends are repeated until settled.
+// Executor to owner: what has happened to runs since the last report. Ends are
+// repeated until they are acknowledged.
 struct RunReports {
   uint64_t epoch = 0;
   std::string incarnation;
   std::vector<RunEnd> ended;
   std::vector<RunNotBegun> not_begun;
-  // Of workflows whose owner wants to hear it, the first on this VM.
+  // First runs on this VM of workflows that were started with `report_begin`.
   std::vector<RunRef> begun;
 
   template <typename S>
@@ -230,18 +248,20 @@
   }
 };
 
-// Scheduler to owner, first on a link and then as a heartbeat; and back.
+// Scheduler to owner, first message on a link and then periodically. The owner
+// replies with its own.
 struct SchedulerHeartbeat {
   std::string name;
-  std::string address;  // Where the sender is dialed.
-  uint64_t incarnation = 0;
-  uint64_t epoch = 0;              // Of its own ownership; 0: it owns nothing.
-  uint64_t known_epoch = 0;        // Of the latest owner that it knows.
-  Duration store_silence{};        // Since the store last answered the sender.
-  double host_capacity = 1;        // Of its VM, see HostStrength.
-  uint64_t settings_version = 0;   // Of the newest service settings it knows.
-  std::vector<std::string> peers;  // Owner: addresses of some that follow it.
-  Evacuations evacuations;         // The newest that the sender knows.
+  std::string address;            // Where the sender accepts links.
+  uint64_t incarnation = 0;       // Of the sender's process.
+  uint64_t epoch = 0;             // Of the sender as owner; 0: it is not owner.
+  uint64_t known_epoch = 0;       // Of the latest owner that it knows.
+  Duration store_silence{};       // Since the table last answered the sender.
+  double host_capacity = 1;       // Of the sender's VM, see HostStrength.
+  uint64_t settings_version = 0;  // Of the newest service settings it knows.
+  // From the owner: addresses of some schedulers that follow it.
+  std::vector<std::string> peers;
+  Evacuations evacuations;  // The newest that the sender knows.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -251,7 +271,8 @@
   }
 };
 
-// To a peer with older service settings: the newest document, unread.
+// Scheduler to a peer with older service settings: the newest document, as it
+// was stored.
 struct ServiceSettingsCopy {
   uint64_t version = 0;
   std::string document;
@@ -262,7 +283,8 @@
   }
 };
 
-// Scheduler to owner: this workflow is stored.
+// Scheduler to owner: this workflow has been submitted and stored. Repeated
+// until it is acknowledged.
 struct WorkflowStored {
   Workflow workflow;
 
@@ -272,7 +294,8 @@
   }
 };
 
-// Scheduler to owner: the cancellation of this workflow is stored.
+// Scheduler to owner: the cancellation of this workflow has been stored.
+// Repeated until it is acknowledged.
 struct CancelStored {
   std::string workflow;
 
@@ -282,7 +305,7 @@
   }
 };
 
-// Owner to scheduler: it knows of the workflow, or of its cancellation.
+// Owner to scheduler: it has processed a WorkflowStored or CancelStored.
 struct NoticeAcknowledged {
   std::string workflow;
 
@@ -292,10 +315,11 @@
   }
 };
 
-// Scheduler to owner: the state of a workflow, or a queue's waiting count.
+// Scheduler to owner: asks for the state of a workflow, or for the number of
+// waiting workflows of a queue.
 struct Question {
   uint64_t id = 0;
-  std::string workflow;  // Empty: the question is about `queue`.
+  std::string workflow;  // Empty: asks about `queue`.
   std::string queue;
 
   template <typename S>
@@ -304,11 +328,12 @@
   }
 };
 
+// Owner to scheduler: the reply to the Question with this id.
 struct Answer {
   uint64_t id = 0;
   bool known = false;  // Whether the owner knows the workflow.
   WorkflowState state = WorkflowState::kQueued;
-  uint64_t waiting = 0;
+  uint64_t waiting = 0;  // Workflows in the queue of which nothing has begun.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -316,7 +341,8 @@
   }
 };
 
-// Owner to scheduler: it has stopped acting under `epoch`; take over now.
+// Owner to scheduler: the owner has stopped acting under `epoch`, and the
+// recipient is to take over at once.
 struct HandOver {
   uint64_t epoch = 0;
 
@@ -326,14 +352,14 @@
   }
 };
 
-// The row that says who owns the deployment's work.
+// Stored record of the current owner of the deployment.
 struct OwnerRecord {
   uint64_t epoch = 0;
-  uint64_t sequence = 0;  // Rises with each write, so that the row changes.
+  uint64_t sequence = 0;  // Increases with each write, so the row changes.
   std::string owner;
-  uint64_t incarnation = 0;
-  std::string address;    // Where its peers dial it.
-  bool released = false;  // The owner has stopped acting.
+  uint64_t incarnation = 0;  // Of the owner's process.
+  std::string address;       // Where the owner accepts links.
+  bool released = false;     // The owner has stopped acting.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -342,8 +368,8 @@
   }
 };
 
-// New owner to the schedulers it knows of: follow me. For those that can't
-// read the owner's row themselves.
+// Sent to schedulers that may not know the latest owner, so that they follow it
+// even if they cannot read its record from the table.
 struct OwnerAnnounced {
   OwnerRecord record;
 
@@ -353,7 +379,8 @@
   }
 };
 
-// Scheduler to owner: store this for me, the table does not answer here.
+// Scheduler to owner: store this workflow on the sender's behalf, as the table
+// does not answer the sender.
 struct RelayedSubmit {
   uint64_t id = 0;
   Workflow workflow;
@@ -364,6 +391,7 @@
   }
 };
 
+// Scheduler to owner: store this cancellation on the sender's behalf.
 struct RelayedCancel {
   uint64_t id = 0;
   std::string workflow;
@@ -374,7 +402,8 @@
   }
 };
 
-// What became of a relayed call, as the number of its result.
+// Owner to scheduler: the outcome of the relayed call with this id, as the
+// number of its result.
 struct RelayedResult {
   uint64_t id = 0;
   uint8_t result = 0;
@@ -394,10 +423,10 @@
                  OwnerAnnounced, RelayedSubmit, RelayedCancel, RelayedResult,
                  PacePolicyNotice>;
 
-// The row by which a VM's executor makes itself known.
+// Stored record by which a VM's executor registers.
 struct VmRecord {
   std::string vm;
-  std::string address;
+  std::string address;  // Where the executor accepts links.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -405,15 +434,19 @@
   }
 };
 
+// Encodes the message as CBOR.
 std::string EncodeDispatch(const DispatchMessage& message);
+// Returns an error if the bytes are not a message of this set.
 Result<DispatchMessage> DecodeDispatch(std::string_view bytes);
 
-// The stored records. Decoding fails on bytes of another shape.
+// Encodes a stored record as CBOR.
 std::string EncodeRecord(const Workflow& record);
 std::string EncodeRecord(const ProgressRecord& record);
 std::string EncodeRecord(const OwnerRecord& record);
 std::string EncodeRecord(const VmRecord& record);
 std::string EncodeRecord(const InterferenceRecord& record);
+// Decodes a stored record. Returns kInternal if the bytes lack a required field
+// or have an unknown one.
 template <typename Record>
 Result<Record> DecodeRecord(std::string_view bytes);
 
--- a/beamhill/dispatch/dispatch_messages_test.cc
+++ b/beamhill/dispatch/dispatch_messages_test.cc
@@ -20,9 +20,9 @@
   return Json::array({7, 1, Json::array({step})});
 }
 
-// The rows outlive the program: those of a version that knew no crashes hold
-// which tasks are done, and must not be taken for unreadable.
-TEST(ProgressRecordTest, RecordOfAnEarlierVersionIsRead) {
+// Records stored by an earlier version, without the `crashes` field, hold the
+// finished tasks of running workflows, so they must remain readable.
+TEST(ProgressRecordTest, RecordWithoutCrashesIsDecoded) {
   const Json step = {0, 1, {0, 3}, Json::array({{4, {11, 12}}})};
   const auto record = DecodeRecord<ProgressRecord>(Bytes(RecordWithStep(step)));
   ASSERT_TRUE(IsOk(record));
@@ -33,7 +33,7 @@
   EXPECT_TRUE(read.steps[0].crashes.empty());
 }
 
-TEST(ProgressRecordTest, RecordOfAnotherShapeIsRefused) {
+TEST(ProgressRecordTest, RecordWithMissingOrExtraFieldsIsRejected) {
   for (const Json& step :
        {Json({0, 1, {0, 3}}),
         Json({0, 1, {0, 3}, Json::array(), Json::array(), 1})}) {
@@ -42,7 +42,7 @@
   }
 }
 
-TEST(ProgressRecordTest, CrashesAreKept) {
+TEST(ProgressRecordTest, CrashesSurviveEncodingAndDecoding) {
   ProgressRecord record;
   record.steps.resize(1);
   record.steps[0].crashes = {{2, {5, 6}}};
--- a/beamhill/dispatch/dispatch_types.h
+++ b/beamhill/dispatch/dispatch_types.h
@@ -1,5 +1,5 @@
-// What goes into the Dispatcher and comes out of it, besides the messages to
-// and from executors.
+// Options, inputs and outputs of the Dispatcher, apart from the messages that
+// it exchanges with executors.
 //
 //   DispatcherOptions options;
 //   options.epoch = 3;
@@ -20,94 +20,101 @@
 
 namespace beamhill {
 
-// A start that has not left for its runner so long after it was ordered, on the
-// way to its executor or there, is given back: it comes at most so long after
-// the owner last knew that it may. With the 0.8 s in which an owner reads from
-// the table what it was not told, that is below the 3 s that users allow after
-// a cancellation, if the table answers within 0.3 s. A shorter incarnation
-// brought no gain: with 1.2 s worth was lower by 0.016 on one of three small
-// sites (72 pairs of runs, which differ by as much between two runs of one
-// program) and within noise on the others.
+// A start order that its executor has not sent to the runner this long after
+// the owner made it is dropped and reported as not begun. An owner reads missed
+// cancellations from the table every 0.8 s. If the table answers within 0.3 s,
+// no task starts later than 3 s after the cancellation of its workflow, which
+// users rely on.
 inline constexpr Duration kStartOrderTtl = std::chrono::milliseconds(1900);
 
-// What an owner may do by now.
+// What an owner is allowed to do at present.
 enum class Authority : uint8_t {
-  kNone,     // Another process may own the work by now: nothing leaves.
-  kClosing,  // It gives the work up: nothing new begins.
+  kNone,     // Another process may be the owner: nothing is sent.
+  kClosing,  // It is giving up ownership: no new starts or leases.
   kFull,
 };
 
 struct DispatcherOptions {
   uint64_t epoch = 1;
-  // How long a VM's work may go on after its last heartbeat was answered.
+  // How long a VM may keep running its tasks after a heartbeat of its executor
+  // that the owner answered.
   Duration lease_term = std::chrono::seconds(5);
-  // The runners' clocks may be 2 % slow, ours are taken as exact to 0.5 %.
+  // Allowance for clock drift in lease bounds: runners' clocks may be 2 % slow,
+  // the schedulers' clocks are taken to be exact to 0.5 %.
   int64_t clock_error_permille = 25;
-  // How long from the taking of the ownership leases of earlier owners may
-  // still be in force.
+  // How long after this owner has taken ownership leases of earlier owners may
+  // still be valid.
   Duration inherited_bound = std::chrono::seconds(14);
-  // VMs that an earlier owner may have used.
+  // VMs on which earlier owners may have started tasks.
   std::vector<std::string> inherited_vms;
-  // How long the outcome of a workflow that is over can be asked for.
+  // How long the outcome of a finished workflow can be queried.
   Duration retention = std::chrono::seconds(130);
 };
 
-// The whole deployment at one moment, for the log and for figures.
+// Snapshot of the whole deployment, for the log and for metrics. Processor
+// time is in thousandths of a core.
 struct DispatchSummary {
-  size_t vms = 0;  // Answering.
+  size_t vms = 0;  // VMs that answer.
   Resources capacity;
-  Resources used;                      // By what doesn't fill.
-  int64_t serving_cpu = 0;             // Part of it.
-  int64_t best_effort_cpu = 0;         // What fillers ask for.
-  int64_t best_effort_cpu_in_use = 0;  // What they used, as last reported.
+  Resources used;           // Requested by tasks that are not best-effort.
+  int64_t serving_cpu = 0;  // The part of `used` that serving tasks request.
+  int64_t best_effort_cpu = 0;         // Requested by best-effort tasks.
+  int64_t best_effort_cpu_in_use = 0;  // Used by them, as last reported.
   size_t open_workflows = 0;
   size_t held_runs = 0;
-  size_t stops = 0;  // Decided, and not known to be carried out.
-  Duration oldest_stop{};
-  size_t suspects = 0;    // Tasks that may take runners down.
-  uint64_t given_up = 0;  // Workflows with one that did, under this owner.
+  size_t stops = 0;        // Stops that are not confirmed yet.
+  Duration oldest_stop{};  // Age of the oldest of these.
+  size_t suspects = 0;     // Tasks suspected of crashing their runners.
+  // Workflows that failed under this owner because a task crashed its runners.
+  uint64_t given_up = 0;
 };
 
-// A workflow that is over and of which VMs hold runs all the same.
+// A finished workflow of which VMs still hold runs.
 struct OrphanedWork {
   std::string workflow;
   size_t runs = 0;
-  Duration age{};  // Since the workflow was over.
+  Duration age{};  // Time since the workflow finished.
 };
 
+// A message for the executor of a VM.
 struct VmMessage {
   std::string vm;
   DispatchMessage message;
 };
 
-// What one transaction stores.
+// Changes to be stored in one transaction.
 struct DispatchCommit {
   std::vector<std::pair<std::string, ProgressRecord>> progress;
-  std::vector<std::string> forgotten;  // Workflows past their retention.
+  // Workflows past their retention, whose records are deleted.
+  std::vector<std::string> forgotten;
 };
 
-// Asks the placement advisor which of these runners may run a step.
+// Question to the placement advisor: which of these runners may run a step.
 struct AdviceRequest {
-  TaskRef step;  // The index means nothing.
+  TaskRef step;  // Its `index` is ignored.
   std::vector<std::string> incarnations;
 };
 
-// What it answered: the runners that may, each with a ticket for its starts.
+// The advisor's answer: the runners that may run the step, each with a ticket
+// that its starts must carry.
 struct Advice {
   std::map<std::string, std::string> tickets;  // By incarnation.
 };
 
+// Counters of a Dispatcher since its creation, of runs where nothing else is
+// said.
 struct DispatchCounts {
   uint64_t starts = 0;
   uint64_t done = 0;
   uint64_t failed = 0;
   uint64_t not_begun = 0;
-  uint64_t lapsed = 0;
-  uint64_t adopted = 0;
-  uint64_t stray_stops = 0;
-  uint64_t stops_repeated = 0;
-  uint64_t moved = 0;
-  uint64_t given_up = 0;  // Workflows with a task that takes runners down.
+  uint64_t lapsed = 0;          // Given up without a report of their end.
+  uint64_t adopted = 0;         // Taken over from an earlier owner.
+  uint64_t stray_stops = 0;     // Stopped since no task waits for them.
+  uint64_t stops_repeated = 0;  // Stops that were sent again.
+  uint64_t moved = 0;           // Stopped to start again on another VM.
+  // Workflows that failed because a task crashed its runners.
+  uint64_t given_up = 0;
 };
 
 }  // namespace beamhill
--- a/beamhill/dispatch/pacing_messages.h
+++ b/beamhill/dispatch/pacing_messages.h
@@ -1,5 +1,12 @@
-// The messages, and one stored record, about how fast fillers may work beside
-// serving tasks. They travel with those of dispatch_messages.h.
+// Messages, and one stored record, for pacing: how fast best-effort tasks may
+// run beside serving tasks on a VM. DispatchMessage of dispatch_messages.h
+// carries them.
+//
+//   VmInterference report;
+//   report.epoch = epoch;
+//   report.serving.push_back({"web", std::chrono::milliseconds(18)});
+//   report.best_effort_loads.push_back({"batch", 2500, 100});
+//   link.Send(EncodeDispatch(report));
 #ifndef BEAMHILL_DISPATCH_PACING_MESSAGES_H_
 #define BEAMHILL_DISPATCH_PACING_MESSAGES_H_
 
@@ -14,15 +21,20 @@
 
 namespace beamhill {
 
-// What pacing needs to know of a task.
+// Properties of a task that pacing depends on.
 struct TaskTraits {
   std::string image;
+  // Runs only on processor time that other tasks leave idle.
   bool best_effort = false;
-  Duration tail_target{};  // Of a serving task; 0: it doesn't serve.
-  int64_t cpu_millis = 0;  // What it would like to use.
-  // Of fillers, the one with the lowest order keeps its pace longest.
+  // Target of a serving task's tail latency; 0 for tasks that don't serve.
+  Duration tail_target{};
+  // Requested processor time, in thousandths of a core.
+  int64_t cpu_millis = 0;
+  // Best-effort tasks are slowed down in descending order of this rank; see
+  // BestEffortRank.
   double best_effort_rank = 0;
 
+  // Whether pacing takes the task into account.
   bool paced() const { return best_effort || tail_target > Duration(0); }
 
   template <typename S>
@@ -42,8 +54,8 @@
   }
 };
 
-// Owner to executor: the traits of runs that it holds. After an inventory for
-// an executor that has restarted, and when their order has changed.
+// Owner to executor: traits of runs that the executor holds. Sent after an
+// inventory, since the executor may have restarted, and when ranks change.
 struct RunTraitsList {
   uint64_t epoch = 0;
   std::string incarnation;
@@ -55,7 +67,7 @@
   }
 };
 
-// The tail of one serving image on a VM, over the last half second.
+// Tail latency of one serving image on a VM over the last half second.
 struct ServingTailLatency {
   std::string image;
   Duration tail{};
@@ -66,11 +78,12 @@
   }
 };
 
-// The processor time that one filling image used beside it.
+// Processor time that the tasks of one best-effort image used on a VM over the
+// same half second, in thousandths of a core.
 struct BestEffortLoad {
   std::string image;
   int64_t cpu_millis = 0;
-  int32_t percent = 100;  // The pace that its tasks are held to.
+  int32_t percent = 100;  // Pace that its tasks are limited to.
 
   template <typename S>
   static auto Fields(S& s) {
@@ -78,7 +91,8 @@
   }
 };
 
-// Executor to owner: who was disturbed beside whom.
+// Executor to owner: the tail latencies of serving images on the VM and the
+// loads of the best-effort images that ran beside them.
 struct VmInterference {
   uint64_t epoch = 0;
   std::vector<ServingTailLatency> serving;
@@ -90,10 +104,11 @@
   }
 };
 
-// What a filling image that had a whole VM would add to a serving one's tail.
+// Interference of a best-effort image with a serving image.
 struct InterferenceWeight {
   std::string serving;
   std::string best_effort_image;
+  // Added tail latency if the best-effort image used a whole VM.
   Duration per_vm{};
 
   template <typename S>
@@ -102,7 +117,7 @@
   }
 };
 
-// Owner to executors: what all VMs together have taught.
+// Owner to executors: interference learned from the reports of all VMs.
 struct InterferenceWeights {
   uint64_t epoch = 0;
   std::vector<InterferenceWeight> weights;
@@ -113,19 +128,19 @@
   }
 };
 
-// How executors pace fillers beside serving tasks.
+// How executors pace best-effort tasks beside serving tasks.
 enum class PacePolicy : uint8_t {
-  // Fillers are cut as soon as a tail nears its target, and get their pace back
-  // step by step.
+  // Best-effort tasks are slowed down as soon as a tail latency approaches its
+  // target, and sped up again step by step.
   kCautious,
-  // Fillers work at their whole pace, and rest when a tail has been up for
-  // long.
+  // Best-effort tasks run at full pace, and are paused when a tail latency has
+  // been too high for long.
   kGuarded,
 };
 std::string_view PacePolicyName(PacePolicy policy);
 
-// Owner to executor: pace fillers so from now on. After an inventory, and when
-// it has changed.
+// Owner to executor: the pace policy from now on. Sent after an inventory, and
+// when the policy changes.
 struct PacePolicyNotice {
   uint64_t epoch = 0;
   PacePolicy policy = PacePolicy::kCautious;
@@ -136,11 +151,13 @@
   }
 };
 
-// The row that keeps what an owner has learned of pressure for the next one.
+// Stored record of the interference that an owner has learned, from which the
+// next owner continues.
 struct InterferenceRecord {
+  // A serving image.
   struct Image {
     std::string serving;
-    Duration alone{};
+    Duration alone{};  // Tail latency without best-effort tasks beside it.
     std::vector<InterferenceWeight> weights;
 
     template <typename S>
