--- a/beamhill/dispatch/ownership_keeper.cc
+++ b/beamhill/dispatch/ownership_keeper.cc
@@ -6,18 +6,19 @@
 namespace beamhill {
 namespace {
 
-// Spreads the claims of peers that see the same row.
-constexpr Duration kClaimSpread = std::chrono::milliseconds(60);
-// Of one transaction: that three answers in a row are lost is rare, and where
-// none comes the table may be silent.
-constexpr int kMostSends = 3;
+// Upper bound of the random delay after a failed claim, so that peers that read
+// the same row do not claim it at the same time again.
+constexpr Duration kMaxClaimRetryDelay = std::chrono::milliseconds(60);
+// How often one transaction is sent at most: three lost answers in a row are
+// rare, so after these the table itself is likely not to answer.
+constexpr int kMaxCommitSends = 3;
 
 }  // namespace
 
 OwnershipKeeper::OwnershipKeeper(const OwnershipKeeperOptions& options,
                                  Table table, OwnershipKeeperHooks hooks)
     : options_(options), table_(std::move(table)), hooks_(std::move(hooks)) {
-  look_at_ = hooks_.now();
+  next_read_at_ = hooks_.now();
 }
 
 bool OwnershipKeeper::MayAct() const {
@@ -30,37 +31,37 @@
 
 void OwnershipKeeper::OnOwnerHeard(uint64_t epoch) {
   if (owns_ || epoch < record_.epoch) return;
-  heard_at_ = hooks_.now();
-  look_at_ = heard_at_ + options_.silence_before_look;
+  owner_heard_at_ = hooks_.now();
+  next_read_at_ = owner_heard_at_ + options_.owner_silence_before_read;
 }
 
-void OwnershipKeeper::OnOwnerCutOff() {
-  if (!owns_) look_at_ = hooks_.now();
+void OwnershipKeeper::OnOwnerLostTable() {
+  if (!owns_) next_read_at_ = hooks_.now();
 }
 
 void OwnershipKeeper::OnOwnerAnnounced(const OwnerRecord& owner) {
   if (owner.epoch <= record_.epoch) return;
-  if (owns_) Lose("a later owner has made itself known");
+  if (owns_) LoseOwnership("a later owner was announced");
   record_ = owner;
-  row_seen_ = true;
+  row_known_ = true;
   version_ = 0;
-  heard_at_ = hooks_.now();
-  look_at_ = heard_at_ + options_.silence_before_look;
+  owner_heard_at_ = hooks_.now();
+  next_read_at_ = owner_heard_at_ + options_.owner_silence_before_read;
   hooks_.on_follow(owner);
 }
 
 void OwnershipKeeper::OnOwnerGone(uint64_t incarnation) {
-  if (owns_ || incarnation == gone_incarnation_) return;
-  gone_incarnation_ = incarnation;
+  if (owns_ || incarnation == gone_owner_incarnation_) return;
+  gone_owner_incarnation_ = incarnation;
   hooks_.log("owner_gone", record_.owner);
-  look_at_ = hooks_.now();
+  next_read_at_ = hooks_.now();
 }
 
 void OwnershipKeeper::OnHandOver(uint64_t epoch) {
   if (owns_ || epoch < record_.epoch) return;
   hooks_.log("hand_over_received", "epoch " + std::to_string(epoch));
   handed_over_epoch_ = epoch;
-  look_at_ = hooks_.now();
+  next_read_at_ = hooks_.now();
 }
 
 void OwnershipKeeper::Tick() {
@@ -70,39 +71,41 @@
     if (idle && !commit_ && !releasing_) Commit({}, [](bool) {});
     const bool overdue =
         commit_ && now - commit_->last_sent >= answer_times_.Patience();
-    if (overdue && !rechecking_ && !looking_) LookForCommit();
+    if (overdue && !resolving_conflict_ && !checking_commit_) ReadForCommit();
     return;
   }
-  if (!busy_ && now >= look_at_) ReadRow();
+  if (!read_or_claim_open_ && now >= next_read_at_) ReadRow();
 }
 
 void OwnershipKeeper::ReadRow() {
-  busy_ = true;
+  read_or_claim_open_ = true;
   const TimePoint sent_at = hooks_.now();
   const Duration jitter = std::chrono::duration_cast<Duration>(
-      hooks_.random() * options_.look_interval / 2);
-  look_at_ = sent_at + options_.look_interval + jitter;
+      hooks_.random() * options_.row_read_interval / 2);
+  next_read_at_ = sent_at + options_.row_read_interval + jitter;
   table_.read({options_.row_key},
               lifetime_.Guard([this, sent_at](Result<std::vector<Row>> rows) {
-                busy_ = false;
+                read_or_claim_open_ = false;
                 if (!IsOk(rows) || owns_) return;
                 OnRow(ValueOf(rows).front(), sent_at);
               }));
 }
 
-// What a read shows was so at some moment between its call and its answer, and
-// a store that was silent answers seconds late: so the row is only known to be
-// unchanged from the answer to one read until the call of another.
+// A read returns the row as it was at some moment between its call and its
+// answer, and a table that recovers from an outage answers seconds late. So the
+// row is known to be unchanged only from the answer to one read until the call
+// of a later one.
 bool OwnershipKeeper::OwnerLooksLost(TimePoint sent_at) const {
-  if (record_.incarnation == gone_incarnation_) return true;
-  return sent_at - heard_at_ >= options_.silence_before_look &&
+  if (record_.incarnation == gone_owner_incarnation_) return true;
+  return sent_at - owner_heard_at_ >= options_.owner_silence_before_read &&
          sent_at - unchanged_since_ >= options_.unchanged_before_claim;
 }
 
-bool OwnershipKeeper::Remember(const OwnerRecord& seen, uint64_t version) {
-  if (!row_seen_ || version != version_) unchanged_since_ = hooks_.now();
-  const bool new_owner = !row_seen_ || seen.incarnation != record_.incarnation;
-  row_seen_ = true;
+bool OwnershipKeeper::UpdateKnownOwner(const OwnerRecord& seen,
+                                       uint64_t version) {
+  if (!row_known_ || version != version_) unchanged_since_ = hooks_.now();
+  const bool new_owner = !row_known_ || seen.incarnation != record_.incarnation;
+  row_known_ = true;
   version_ = version;
   record_ = seen;
   return new_owner;
@@ -120,22 +123,24 @@
     return;
   }
   const OwnerRecord& seen = ValueOf(decoded);
-  const bool new_owner = Remember(seen, row.version);
+  const bool new_owner = UpdateKnownOwner(seen, row.version);
   const bool own_row =
       seen.owner == options_.name && seen.incarnation == options_.incarnation;
   if (own_row && seen.epoch > last_owned_epoch_ && !seen.released) {
-    // A claim of ours whose answer was lost.
-    Take(seen, row.version, sent_at, /*released=*/false);
+    // A claim of this process took effect, but its answer was lost.
+    TakeOwnership(seen, row.version, sent_at, /*released=*/false);
     return;
   }
-  // We owned it and stopped acting; what we did is known to no one, so it
-  // takes a new epoch to go on. Or it was given to us.
-  const bool given = own_row || handed_over_epoch_ == seen.epoch;
-  // An earlier run of this process is gone for certain.
-  const bool own_earlier_run = seen.owner == options_.name;
-  const bool free = seen.released || own_earlier_run || OwnerLooksLost(sent_at);
-  if (MayClaim(free, now) || given) {
-    Claim(row, seen.released || given);
+  // Either this process was the owner under this epoch and gave it up: nobody
+  // else knows its latest decisions, so it needs a new epoch to continue. Or
+  // the owner has handed over to this process.
+  const bool handed_to_us = own_row || handed_over_epoch_ == seen.epoch;
+  // An earlier incarnation of this scheduler cannot be running any more.
+  const bool own_earlier_incarnation = seen.owner == options_.name;
+  const bool free =
+      seen.released || own_earlier_incarnation || OwnerLooksLost(sent_at);
+  if (MayClaim(free, now) || handed_to_us) {
+    Claim(row, seen.released || handed_to_us);
     return;
   }
   if (new_owner && !free) hooks_.on_follow(seen);
@@ -148,43 +153,43 @@
   }
   if (!claim_at_) claim_at_ = now + hooks_.claim_delay();
   if (now >= *claim_at_) return true;
-  look_at_ = std::min(look_at_, *claim_at_);
+  next_read_at_ = std::min(next_read_at_, *claim_at_);
   return false;
 }
 
 void OwnershipKeeper::Claim(const Row& row, bool released) {
   const TimePoint now = hooks_.now();
   if (now < no_claim_before_) return;
-  busy_ = true;
-  OwnerRecord mine;
-  mine.epoch = (row.version == 0 ? 0 : record_.epoch) + 1;
-  mine.owner = options_.name;
-  mine.incarnation = options_.incarnation;
-  mine.address = options_.address;
+  read_or_claim_open_ = true;
+  OwnerRecord claimed;
+  claimed.epoch = (row.version == 0 ? 0 : record_.epoch) + 1;
+  claimed.owner = options_.name;
+  claimed.incarnation = options_.incarnation;
+  claimed.address = options_.address;
   const bool first = row.version == 0;
-  hooks_.log("claiming", "epoch " + std::to_string(mine.epoch) +
+  hooks_.log("claiming", "epoch " + std::to_string(claimed.epoch) +
                              (first ? ", first"
                                     : ", after " + record_.owner +
                                           (released ? ", released" : "")));
   Transaction transaction;
   transaction.writes.push_back(
-      {options_.row_key, row.version, EncodeRecord(mine)});
+      {options_.row_key, row.version, EncodeRecord(claimed)});
   table_.commit(
       std::move(transaction),
-      lifetime_.Guard([this, mine, now, released](CommitAnswer answer) {
-        busy_ = false;
+      lifetime_.Guard([this, claimed, now, released](CommitAnswer answer) {
+        read_or_claim_open_ = false;
         if (answer.result == CommitResult::kCommitted) {
-          Take(mine, answer.versions.front(), now, released);
+          TakeOwnership(claimed, answer.versions.front(), now, released);
           return;
         }
         const Duration pause = std::chrono::duration_cast<Duration>(
-            hooks_.random() * kClaimSpread);
-        look_at_ = hooks_.now() + pause;
+            hooks_.random() * kMaxClaimRetryDelay);
+        next_read_at_ = hooks_.now() + pause;
       }));
 }
 
-void OwnershipKeeper::Take(const OwnerRecord& record, uint64_t version,
-                           TimePoint sent_at, bool released) {
+void OwnershipKeeper::TakeOwnership(const OwnerRecord& record, uint64_t version,
+                                    TimePoint sent_at, bool released) {
   record_ = record;
   version_ = version;
   confirmed_at_ = sent_at;
@@ -198,12 +203,12 @@
   hooks_.on_taken(record.epoch, released, record.epoch == 1);
 }
 
-void OwnershipKeeper::Lose(const std::string& why) {
+void OwnershipKeeper::LoseOwnership(const std::string& why) {
   if (!owns_) return;
   owns_ = false;
-  row_seen_ = false;
-  look_at_ = hooks_.now();
-  heard_at_ = hooks_.now();
+  row_known_ = false;
+  next_read_at_ = hooks_.now();
+  owner_heard_at_ = hooks_.now();
   hooks_.log("ownership_lost", why);
   if (commit_) FinishCommit(false);
   hooks_.on_lost();
@@ -211,7 +216,7 @@
 
 void OwnershipKeeper::Commit(std::vector<RowWrite> writes,
                              std::function<void(bool)> done) {
-  if (!owns_ || commit_ || rechecking_) {
+  if (!owns_ || commit_ || resolving_conflict_) {
     done(false);
     return;
   }
@@ -231,7 +236,7 @@
   const TimePoint sent_at = hooks_.now();
   commit_->last_sent = sent_at;
   ++commit_->sent;
-  ++commit_->open;
+  ++commit_->unanswered;
   table_.commit(commit_->transaction,
                 lifetime_.Guard([this, sequence = commit_->next.sequence,
                                  sent_at](const CommitAnswer& answer) {
@@ -239,37 +244,37 @@
                 }));
 }
 
-void OwnershipKeeper::LookForCommit() {
-  looking_ = true;
+void OwnershipKeeper::ReadForCommit() {
+  checking_commit_ = true;
   const TimePoint sent_at = hooks_.now();
   table_.read({options_.row_key},
               lifetime_.Guard([this, sequence = commit_->next.sequence,
                                sent_at](const Result<std::vector<Row>>& rows) {
-                looking_ = false;
-                OnCommitLook(sequence, sent_at, rows);
+                checking_commit_ = false;
+                OnReadForCommit(sequence, sent_at, rows);
               }));
 }
 
-void OwnershipKeeper::OnCommitLook(uint64_t sequence, TimePoint sent_at,
-                                   const Result<std::vector<Row>>& rows) {
+void OwnershipKeeper::OnReadForCommit(uint64_t sequence, TimePoint sent_at,
+                                      const Result<std::vector<Row>>& rows) {
   if (!IsOk(rows)) return;
-  const Duration took = hooks_.now() - sent_at;
-  const bool lost = answer_times_.IsQuick(took);
-  answer_times_.Add(took);
+  const Duration read_time = hooks_.now() - sent_at;
+  const bool lost = answer_times_.IsQuick(read_time);
+  answer_times_.Add(read_time);
   const bool open = commit_ && commit_->next.sequence == sequence;
-  if (!open || rechecking_) return;
-  if (OnRechecked(rows, sent_at)) {
+  if (!open || resolving_conflict_) return;
+  if (UpdateFromRow(rows, sent_at)) {
     FinishCommit(true);
-  } else if (commit_ && lost && commit_->sent < kMostSends) {
+  } else if (commit_ && lost && commit_->sent < kMaxCommitSends) {
     SendCommit();
   }
 }
 
 void OwnershipKeeper::OnCommitAnswer(uint64_t sequence, TimePoint sent_at,
                                      const CommitAnswer& answer) {
-  // One that was repeated has ended by another answer.
+  // A transaction that was sent again may have finished by an earlier answer.
   if (!commit_ || commit_->next.sequence != sequence) return;
-  --commit_->open;
+  --commit_->unanswered;
   switch (answer.result) {
     case CommitResult::kCommitted:
       answer_times_.Add(hooks_.now() - sent_at);
@@ -280,11 +285,11 @@
       return;
     case CommitResult::kConflict:
       answer_times_.Add(hooks_.now() - sent_at);
-      if (!rechecking_) Recheck();
+      if (!resolving_conflict_) ReadRowAfterConflict();
       return;
     case CommitResult::kNotApplied:
     case CommitResult::kUnknown:
-      if (commit_->open == 0 && !rechecking_) FinishCommit(false);
+      if (commit_->unanswered == 0 && !resolving_conflict_) FinishCommit(false);
       return;
   }
 }
@@ -296,36 +301,35 @@
   ResumeRelease();
 }
 
-// A release that waited for the row's version to be known.
 void OwnershipKeeper::ResumeRelease() {
-  if (!release_wanted_ || commit_ || rechecking_) return;
-  const std::function<void()> done = std::exchange(release_wanted_, nullptr);
+  if (!pending_release_ || commit_ || resolving_conflict_) return;
+  const std::function<void()> done = std::exchange(pending_release_, nullptr);
   Release(done);
 }
 
-// The row is not as we left it: another has it, or a transaction of ours
-// without an answer took effect, this one or an earlier one.
-void OwnershipKeeper::Recheck() {
-  rechecking_ = true;
+// After a conflict the row names another owner, or contains a transaction of
+// this process whose answer was lost: the open one or an earlier one.
+void OwnershipKeeper::ReadRowAfterConflict() {
+  resolving_conflict_ = true;
   const TimePoint sent_at = hooks_.now();
   table_.read({options_.row_key},
               lifetime_.Guard([this, sent_at](Result<std::vector<Row>> rows) {
-                rechecking_ = false;
-                const bool committed = OnRechecked(rows, sent_at);
+                resolving_conflict_ = false;
+                const bool committed = UpdateFromRow(rows, sent_at);
                 if (commit_) FinishCommit(committed);
                 ResumeRelease();
               }));
 }
 
-bool OwnershipKeeper::OnRechecked(const Result<std::vector<Row>>& rows,
-                                  TimePoint sent_at) {
+bool OwnershipKeeper::UpdateFromRow(const Result<std::vector<Row>>& rows,
+                                    TimePoint sent_at) {
   if (!owns_ || !IsOk(rows)) return false;
   const Row& row = ValueOf(rows).front();
   const Result<OwnerRecord> seen = DecodeRecord<OwnerRecord>(row.value);
   const bool ours = IsOk(seen) && ValueOf(seen).epoch == record_.epoch &&
                     ValueOf(seen).incarnation == record_.incarnation;
   if (!ours) {
-    Lose("the row names another owner");
+    LoseOwnership("the owner row names another owner");
     return false;
   }
   version_ = row.version;
@@ -340,8 +344,8 @@
     return;
   }
   releasing_ = true;
-  if (commit_ || rechecking_) {
-    release_wanted_ = std::move(done);
+  if (commit_ || resolving_conflict_) {
+    pending_release_ = std::move(done);
     return;
   }
   OwnerRecord last = record_;
@@ -356,7 +360,7 @@
                   hooks_.log("ownership_released",
                              answer.result == CommitResult::kCommitted
                                  ? "stored"
-                                 : "not known to be stored");
+                                 : "outcome unknown");
                   owns_ = false;
                   done();
                 }));
@@ -364,7 +368,7 @@
 
 void OwnershipKeeper::HandOverToPeer() {
   no_claim_before_ = hooks_.now() + options_.hand_over_pause;
-  Lose("handed over: the table does not answer here");
+  LoseOwnership("handed over: the table does not answer this process");
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/ownership_keeper.h
+++ b/beamhill/dispatch/ownership_keeper.h
@@ -1,20 +1,22 @@
-// One scheduler's part in deciding who owns the deployment's work.
+// Elects the owner of the deployment among the schedulers: each scheduler has
+// one OwnershipKeeper, which claims, confirms, hands over and releases the
+// ownership.
 //
-// The owner is named by one row of the table; it is taken by a conditional
-// write that raises the epoch. Every transaction of an owner rewrites the row
-// under the condition of its last version. So transactions of one owner take
-// effect in their order or not at all: one whose answer was lost can't land
-// after a later one has, and an owner that has lost the row can't store
-// anything.
+// A single row of the table, the owner row, names the owner. A scheduler takes
+// ownership by a conditional write to the row that raises the epoch. Every
+// transaction of the owner rewrites the row on condition of its last version.
+// So the transactions of one owner take effect in order or not at all: one
+// whose answer was lost cannot take effect after a later one, and an owner that
+// has lost the row cannot store anything.
 //
-// An owner may act for `authority_term` from the sending of its last
-// transaction that took effect. A successor need not wait for that: executors
-// obey the higher epoch at once, and what an executor that is out of reach
-// may still run is waited out (see Dispatcher).
+// An owner may act for `authority_term` after it sent its latest transaction
+// that took effect. A successor does not wait for this term to end: executors
+// obey the higher epoch at once, and Dispatcher waits until the leases of
+// executors that it cannot reach have expired.
 //
 //   OwnershipKeeper keeper(options, table, hooks);
 //   keeper.Tick();                                   // every 50 ms
-//   keeper.OnOwnerHeard(epoch);                      // the owner's heartbeat
+//   keeper.OnOwnerHeard(epoch);                      // on its heartbeat
 //   keeper.Commit(writes, [](bool committed) { ... });
 #ifndef BEAMHILL_DISPATCH_OWNERSHIP_KEEPER_H_
 #define BEAMHILL_DISPATCH_OWNERSHIP_KEEPER_H_
@@ -35,36 +37,39 @@
 namespace beamhill {
 
 struct OwnershipKeeperOptions {
-  std::string name;
-  uint64_t incarnation = 0;
-  std::string address;
+  std::string name;          // Of this scheduler.
+  uint64_t incarnation = 0;  // Of this process.
+  std::string address;       // Where this scheduler accepts links.
   std::string row_key = rows::kOwner;
-  // How long an owner acts without a transaction that took effect: the
-  // longest outage of the table that work outlives.
+  // How long an owner may act after its latest transaction that took effect.
+  // Running tasks survive outages of the table up to this long.
   Duration authority_term = std::chrono::seconds(8);
-  // An owner with nothing to store rewrites its row this often.
+  // How often an owner with nothing to store rewrites the row.
   Duration confirm_interval = std::chrono::milliseconds(500);
-  // An owner that its peers don't hear and whose row has not changed for so
-  // long is taken for lost. Above the confirm interval and a slow answer.
+  // An owner that sends no heartbeats is considered lost once the row has not
+  // changed for this long. Exceeds `confirm_interval` plus a slow answer.
   Duration unchanged_before_claim = std::chrono::milliseconds(1700);
-  // Silence on the link to the owner after which the row is looked at.
-  Duration silence_before_look = std::chrono::milliseconds(900);
-  Duration look_interval = std::chrono::milliseconds(350);
-  // After handing over, how long to leave the row to others.
+  // How long the owner may be silent on its link before the row is read.
+  Duration owner_silence_before_read = std::chrono::milliseconds(900);
+  // Time between reads of the row, extended by a random part of up to one half.
+  Duration row_read_interval = std::chrono::milliseconds(350);
+  // After handing over, how long this scheduler does not claim the row.
   Duration hand_over_pause = std::chrono::seconds(3);
 };
 
+// Callbacks of an OwnershipKeeper; all must be set.
 struct OwnershipKeeperHooks {
   std::function<TimePoint()> now;
   std::function<double()> random;  // Uniform in [0, 1).
-  // How long a row that is free to be claimed is left to others; asked once
-  // each time that it becomes free.
+  // How long to wait before claiming a free row, so that others may claim it
+  // first. Called once each time the row becomes free.
   std::function<Duration()> claim_delay;
-  // Another process owns the row.
+  // Another process is the owner.
   std::function<void(const OwnerRecord&)> on_follow;
-  // This process owns it now. `released`: the earlier owner had stopped
-  // acting; `first`: there was none.
+  // This process has become the owner. `released`: the earlier owner had
+  // stopped acting; `first`: there was no earlier owner.
   std::function<void(uint64_t epoch, bool released, bool first)> on_taken;
+  // This process is no longer the owner.
   std::function<void()> on_lost;
   std::function<void(const std::string& event, const std::string& detail)> log;
 };
@@ -74,74 +79,81 @@
   OwnershipKeeper(const OwnershipKeeperOptions& options, Table table,
                   OwnershipKeeperHooks hooks);
 
+  // Reads or rewrites the row when that is due.
   void Tick();
-  // The owner of that epoch was heard on its link.
+  // A heartbeat of the owner of this epoch has arrived.
   void OnOwnerHeard(uint64_t epoch);
-  // The owner says that the table does not answer it: find out whether it
-  // answers us.
-  void OnOwnerCutOff();
-  // A later owner has made itself known on a link.
+  // The owner has reported that the table does not answer it: reads the row at
+  // the next tick, to find out whether the table answers this process.
+  void OnOwnerLostTable();
+  // An owner announcement has arrived; one of an older epoch is ignored.
   void OnOwnerAnnounced(const OwnerRecord& owner);
-  // That run of the owner is certainly gone.
+  // The owner process with this incarnation has exited.
   void OnOwnerGone(uint64_t incarnation);
-  // The owner of that epoch has stopped acting in our favour.
+  // The owner of this epoch has stopped acting and handed over to this process.
   void OnHandOver(uint64_t epoch);
 
   bool owns() const { return owns_; }
   uint64_t epoch() const { return record_.epoch; }
   const OwnerRecord& record() const { return record_; }
+  // Whether this process is the owner and its authority has not expired.
   bool MayAct() const;
-  // When the last call was sent that found the row still ours.
+  // When the latest call was sent that confirmed the ownership.
   TimePoint confirmed_at() const { return confirmed_at_; }
   Duration SinceConfirmed() const;
 
-  // Stores writes as the owner. One at a time; `done` gets whether they took
-  // effect. When not, they may still do so, but only before a later commit. One
-  // whose answer is overdue is looked for, since everything waits for it: the
-  // row's sequence tells which one took effect. It is repeated if it has not.
+  // Stores `writes` as the owner, in one transaction; only one may be open at a
+  // time. `done` receives whether it is known to have taken effect. If not, it
+  // may still take effect, but only before a later commit does. If the answer
+  // is overdue, the row is read, since all later commits wait: its sequence
+  // shows which transaction took effect, and this one is sent again if it has
+  // not.
   void Commit(std::vector<RowWrite> writes, std::function<void(bool)> done);
   bool committing() const { return commit_.has_value(); }
 
-  // Gives the row up; the caller has stopped acting. `done` runs when that is
-  // stored or can't be.
+  // Marks the row as released; the caller must have stopped acting. Runs `done`
+  // once this is stored or has failed.
   void Release(std::function<void()> done);
-  // Stops owning without a word to the table; a peer claims.
+  // Stops being the owner without writing to the table; a peer claims the row.
   void HandOverToPeer();
 
  private:
   struct OpenCommit {
     Transaction transaction;
-    OwnerRecord next;
+    OwnerRecord next;  // The row as the transaction writes it.
     std::function<void(bool)> done;
-    int sent = 0;
-    int open = 0;  // Sent and not answered.
+    int sent = 0;  // How many times it was sent.
+    int unanswered = 0;
     TimePoint last_sent{};
   };
 
   void ReadRow();
-  // Takes in the row as it was read; whether another process owns the work
-  // than the row said before.
-  bool Remember(const OwnerRecord& seen, uint64_t version);
+  // Stores the row as it was read. Returns whether it names another process
+  // than before.
+  bool UpdateKnownOwner(const OwnerRecord& seen, uint64_t version);
   void OnRow(const Row& row, TimePoint sent_at);
-  // By the row as it was read with a call sent then.
+  // Judges by the row that a read sent at `sent_at` returned.
   bool OwnerLooksLost(TimePoint sent_at) const;
-  // Whether the row may be claimed, and has been so for the claim delay.
+  // Whether the row has been claimable for the claim delay.
   bool MayClaim(bool claimable, TimePoint now);
   void Claim(const Row& row, bool released);
-  void Take(const OwnerRecord& record, uint64_t version, TimePoint sent_at,
-            bool released);
-  void Lose(const std::string& why);
+  void TakeOwnership(const OwnerRecord& record, uint64_t version,
+                     TimePoint sent_at, bool released);
+  void LoseOwnership(const std::string& why);
   void SendCommit();
-  void LookForCommit();
-  void OnCommitLook(uint64_t sequence, TimePoint sent_at,
-                    const Result<std::vector<Row>>& rows);
-  // Of the transaction with that sequence.
+  void ReadForCommit();
+  void OnReadForCommit(uint64_t sequence, TimePoint sent_at,
+                       const Result<std::vector<Row>>& rows);
+  // Handles the answer to the transaction with this sequence.
   void OnCommitAnswer(uint64_t sequence, TimePoint sent_at,
                       const CommitAnswer& answer);
   void FinishCommit(bool committed);
-  void Recheck();
-  // Whether the row was found to hold the open commit.
-  bool OnRechecked(const Result<std::vector<Row>>& rows, TimePoint sent_at);
+  void ReadRowAfterConflict();
+  // Updates the state of an owner from the row. Returns whether the row
+  // contains the open commit. Ends the ownership if the row names another
+  // owner.
+  bool UpdateFromRow(const Result<std::vector<Row>>& rows, TimePoint sent_at);
+  // Starts a release that had to wait for the row's version.
   void ResumeRelease();
 
   OwnershipKeeperOptions options_;
@@ -149,27 +161,27 @@
   OwnershipKeeperHooks hooks_;
 
   bool owns_ = false;
-  bool busy_ = false;  // A read or claim is open.
-  bool rechecking_ = false;
-  bool looking_ = false;  // For the open commit.
+  bool read_or_claim_open_ = false;
+  bool resolving_conflict_ = false;
+  bool checking_commit_ = false;
   bool releasing_ = false;
-  std::function<void()> release_wanted_;
+  std::function<void()> pending_release_;  // Callback of a release that waits.
   OwnerRecord record_;
   uint64_t version_ = 0;
   std::optional<OpenCommit> commit_;
-  // Of the last transaction made here; no two have the same.
+  // Sequence of the latest transaction of this process; never used twice.
   uint64_t last_sequence_ = 0;
   AnswerTimes answer_times_;
   TimePoint confirmed_at_{};
   TimePoint last_commit_{};
 
-  bool row_seen_ = false;
-  TimePoint unchanged_since_{};  // When the row was first seen as it is.
-  TimePoint heard_at_{};
-  TimePoint look_at_{};
+  bool row_known_ = false;
+  TimePoint unchanged_since_{};  // First answer with the present version.
+  TimePoint owner_heard_at_{};
+  TimePoint next_read_at_{};
   TimePoint no_claim_before_{};
-  std::optional<TimePoint> claim_at_;  // While the row is free to be claimed.
-  uint64_t gone_incarnation_ = 0;
+  std::optional<TimePoint> claim_at_;  // Set while the row is claimable.
+  uint64_t gone_owner_incarnation_ = 0;
   uint64_t handed_over_epoch_ = 0;
   uint64_t last_owned_epoch_ = 0;
   Lifetime lifetime_;
--- a/beamhill/dispatch/ownership_keeper_test.cc
+++ b/beamhill/dispatch/ownership_keeper_test.cc
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 using testing::ElementsAre;
 
-// Schedulers over one table, in virtual time.
+// Schedulers that share one table, in simulated time.
 class OwnershipKeeperTest : public testing::Test {
  protected:
   struct Node {
@@ -57,7 +57,7 @@
     return node;
   }
 
-  // Ticks these nodes for a time; the others are as if frozen.
+  // Ticks the `running` nodes for `time`; the others do nothing meanwhile.
   void Pass(Duration time, const std::vector<Node*>& running) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
@@ -74,7 +74,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-TEST_F(OwnershipKeeperTest, OneTakesAFreeRowAndTheOtherFollows) {
+TEST_F(OwnershipKeeperTest, OneSchedulerTakesAFreeRowAndTheOtherFollows) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
@@ -83,7 +83,7 @@
   EXPECT_THAT(b.followed, ElementsAre("a"));
 }
 
-TEST_F(OwnershipKeeperTest, WeakerOneLeavesAFreeRowToAStrongerOne) {
+TEST_F(OwnershipKeeperTest, SchedulerWithLongerClaimDelayLeavesTheRowToOthers) {
   Node& weak = Add("weak", 1);
   weak.claim_delay = milliseconds(500);
   Pass(milliseconds(200), {&weak});
@@ -93,14 +93,14 @@
   EXPECT_THAT(strong.taken, ElementsAre(1));
 }
 
-TEST_F(OwnershipKeeperTest, WeakOneClaimsWhenNobodyElseDoes) {
+TEST_F(OwnershipKeeperTest, SchedulerClaimsAfterItsDelayIfNobodyElseDoes) {
   Node& weak = Add("weak", 1);
   weak.claim_delay = milliseconds(500);
   Pass(seconds(1), {&weak});
   EXPECT_THAT(weak.taken, ElementsAre(1));
 }
 
-TEST_F(OwnershipKeeperTest, LivingOwnerIsLeftAloneEvenUnheard) {
+TEST_F(OwnershipKeeperTest, OwnerThatConfirmsItsRowKeepsItWithoutHeartbeats) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(20), {&a, &b});
@@ -108,7 +108,7 @@
   EXPECT_THAT(b.taken, ElementsAre());
 }
 
-TEST_F(OwnershipKeeperTest, SilentOwnerIsReplacedAndCannotStoreAnything) {
+TEST_F(OwnershipKeeperTest, StalledOwnerIsReplacedAndCannotStoreAnything) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
@@ -123,7 +123,7 @@
   EXPECT_EQ(table_.model().rows().count("progress/x"), 0);
 }
 
-TEST_F(OwnershipKeeperTest, AuthorityEndsWithoutTheTable) {
+TEST_F(OwnershipKeeperTest, AuthorityExpiresDuringATableOutage) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   table_.set_fault(TableFault::kDown);
@@ -133,7 +133,7 @@
   EXPECT_FALSE(a.keeper->MayAct());
 }
 
-TEST_F(OwnershipKeeperTest, LateTransactionCannotUndoALaterOne) {
+TEST_F(OwnershipKeeperTest, DelayedTransactionCannotOverwriteALaterOne) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   table_.set_fault(TableFault::kLate);
@@ -146,7 +146,7 @@
   EXPECT_EQ(table_.model().rows().at("progress/x").value, "new");
 }
 
-TEST_F(OwnershipKeeperTest, GoesOnAfterATransactionThatTookEffectUnheard) {
+TEST_F(OwnershipKeeperTest, OwnerContinuesAfterALostCommitAnswer) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   table_.set_fault(TableFault::kAnswerLost);
@@ -162,9 +162,10 @@
   EXPECT_TRUE(stored);
 }
 
-// One lost answer held up all that an owner decides for the time-out of a call,
-// 1.5 s: on a day on which three answers in ten are lost, nearly always.
-TEST_F(OwnershipKeeperTest, TransactionWithoutAnAnswerIsRepeatedAndFound) {
+// Without this, one lost answer blocks all decisions of an owner for the
+// timeout of a call, 1.5 s; with three answers in ten lost, that is nearly all
+// of the time.
+TEST_F(OwnershipKeeperTest, TransactionWithLostAnswerIsFoundByReadingTheRow) {
   Table silent = table_.AsTable();
   bool answers = true;
   silent.commit = [&](Transaction transaction, CommitDone done) {
@@ -186,8 +187,9 @@
   EXPECT_TRUE(a.keeper->owns());
 }
 
-// It takes effect between the two: the row is then another transaction's.
-TEST_F(OwnershipKeeperTest, LateTransactionIsNotTakenForALaterOne) {
+// A transaction that takes effect late, before the next one is sent, changes
+// the row's version and must not be mistaken for the next one.
+TEST_F(OwnershipKeeperTest, DelayedTransactionIsNotMistakenForALaterOne) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   table_.set_fault(TableFault::kLate);
@@ -207,8 +209,9 @@
   EXPECT_EQ(stored, true);
 }
 
-// Repeats took the turns of a slow table until it refused all.
-TEST_F(OwnershipKeeperTest, SlowTableGetsNoTransactionTwice) {
+// Sending transactions again to a table that is merely slow adds to its load,
+// until it rejects all of them.
+TEST_F(OwnershipKeeperTest, TransactionIsNotRepeatedToASlowTable) {
   Table slow = table_.AsTable();
   int commits = 0;
   bool is_slow = false;
@@ -232,7 +235,7 @@
   EXPECT_TRUE(a.keeper->owns());
 }
 
-TEST_F(OwnershipKeeperTest, ClaimWhoseAnswerWasLostIsFoundInTheRow) {
+TEST_F(OwnershipKeeperTest, ClaimWithLostAnswerIsFoundInTheRow) {
   Node& a = Add("a", 1);
   now_ += milliseconds(50);
   a.keeper->Tick();
@@ -243,10 +246,10 @@
   EXPECT_THAT(a.taken, ElementsAre(1));
 }
 
-// The row still named this process when it read it again, and it took that
-// for a claim of its own whose answer was lost: it acted a second time under
-// one epoch (drawn days of the users' bench: tasks ran twice).
-TEST_F(OwnershipKeeperTest, EpochThatWasGivenUpIsNotTakenUpAgain) {
+// After handing over, a process that reads the row may still find itself named
+// there. It must not mistake this for a claim whose answer was lost and act
+// under the same epoch again: tasks would run twice.
+TEST_F(OwnershipKeeperTest, EpochIsNotReusedAfterHandover) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   a.keeper->HandOverToPeer();
@@ -254,7 +257,7 @@
   EXPECT_THAT(a.taken, ElementsAre(1, 2));
 }
 
-TEST_F(OwnershipKeeperTest, HandedOverRowIsTakenAtOnce) {
+TEST_F(OwnershipKeeperTest, SuccessorClaimsAtOnceAfterHandover) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
@@ -264,8 +267,9 @@
   EXPECT_THAT(b.taken, ElementsAre(2));
 }
 
-// It was heard until then, and its word is sent to one peer only, once.
-TEST_F(OwnershipKeeperTest, HandedOverRowIsTakenSoonThoughNobodyIsTold) {
+// The HandOver message is sent to one peer only, once, and may be lost. The
+// owner sent heartbeats until then.
+TEST_F(OwnershipKeeperTest, RowIsClaimedSoonAfterHandoverWithoutAMessage) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
@@ -275,7 +279,7 @@
   EXPECT_THAT(b.taken, ElementsAre(2));
 }
 
-TEST_F(OwnershipKeeperTest, ReleaseWaitsForTheTransactionInFlight) {
+TEST_F(OwnershipKeeperTest, ReleaseWaitsForTheOpenTransaction) {
   Node& a = Add("a", 1);
   Node& b = Add("b", 2);
   Pass(seconds(1), {&a, &b});
@@ -290,7 +294,7 @@
   EXPECT_THAT(a.taken, ElementsAre(1));
 }
 
-TEST_F(OwnershipKeeperTest, AnnouncedOwnerIsFollowedWithoutTheTable) {
+TEST_F(OwnershipKeeperTest, AnnouncedOwnerIsFollowedDuringATableOutage) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   table_.set_fault(TableFault::kDown);
@@ -303,11 +307,10 @@
   EXPECT_THAT(a.followed, ElementsAre("c"));
 }
 
-// Found on the large site (trouble-3): reads that a silent store held back for
-// seconds were answered after the row had just changed hands, and the row was
-// taken for one that had not changed since they were sent. Two more owners came
-// within 0.2 s.
-TEST_F(OwnershipKeeperTest, RowThatHasJustChangedHandsIsNotClaimed) {
+// A read that a stalled table answers seconds late may return a row that has
+// just changed owners. If the row counted as unchanged since the read was sent,
+// it would be claimed again: two more owners followed within 0.2 s.
+TEST_F(OwnershipKeeperTest, RowThatJustChangedIsNotClaimedAfterALateRead) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   Node& b = Add("b", 2);
@@ -319,10 +322,10 @@
   Pass(milliseconds(150), {&b});
   EXPECT_THAT(b.taken, ElementsAre());
   Pass(milliseconds(3500), {&b});
-  EXPECT_THAT(b.taken, ElementsAre(2));  // Now it is lost in earnest.
+  EXPECT_THAT(b.taken, ElementsAre(2));  // Now the owner is lost.
 }
 
-TEST_F(OwnershipKeeperTest, NewRunOfTheOwnerTakesOverAtOnce) {
+TEST_F(OwnershipKeeperTest, NewIncarnationOfTheOwnerTakesOverAtOnce) {
   Node& a = Add("a", 1);
   Pass(seconds(1), {&a});
   Node& again = Add("a", 7);
