--- a/beamhill/dispatch/incarnation_name.cc
+++ b/beamhill/dispatch/incarnation_name.cc
@@ -5,7 +5,7 @@
 
 constexpr char kSeparator = '/';
 
-bool TellsStart(std::string_view incarnation) {
+bool HasStartTime(std::string_view incarnation) {
   return incarnation.find(kSeparator) != std::string_view::npos;
 }
 
@@ -24,7 +24,7 @@
 
 bool MayBeSameIncarnation(std::string_view a, std::string_view b) {
   if (a == b) return true;
-  if (TellsStart(a) && TellsStart(b)) return false;
+  if (HasStartTime(a) && HasStartTime(b)) return false;
   return !a.empty() && RunnerOf(a) == RunnerOf(b);
 }
 
--- a/beamhill/dispatch/incarnation_name.h
+++ b/beamhill/dispatch/incarnation_name.h
@@ -1,13 +1,11 @@
-// Names of lives of runners.
+// Names of runner incarnations.
 //
-// A runner may start again under the id that it had, and holds nothing of
-// before then. So an incarnation is named by the id and the moment of its
-// start, where the runner tells it; processes pass the name on and compare it
-// as a whole.
+// A runner that restarts keeps its id but none of its runs. So the name of an
+// incarnation consists of the runner's id and its start time, if the runner
+// reports one. Other processes treat the name as an opaque string.
 //
-//   IncarnationName("i-7f3a", UnixMillis(1764745200000));  //
-//   "i-7f3a/1764745200000" RunnerOf("i-7f3a/1764745200000");               //
-//   "i-7f3a"
+//   std::string name = IncarnationName("i-7f3a", UnixMillis(1764745200000));
+//   // name == "i-7f3a/1764745200000", RunnerOf(name) == "i-7f3a"
 #ifndef BEAMHILL_DISPATCH_INCARNATION_NAME_H_
 #define BEAMHILL_DISPATCH_INCARNATION_NAME_H_
 
@@ -19,13 +17,15 @@
 
 namespace beamhill {
 
-// The id, which holds no slash, stands alone where no start is told.
+// Returns the name of an incarnation: the runner's id, which must not contain a
+// slash, alone if there is no start time.
 std::string IncarnationName(std::string_view runner,
                             std::optional<UnixMillis> started);
-// The id of the runner whose incarnation it is.
+// Returns the id of the incarnation's runner.
 std::string RunnerOf(std::string_view incarnation);
-// Whether both may name one incarnation: executors of an earlier version leave
-// out the moment of the start.
+// Whether both names may be of the same incarnation. Executors of an earlier
+// version omit the start time, so a name without it matches any incarnation of
+// its runner.
 bool MayBeSameIncarnation(std::string_view a, std::string_view b);
 
 }  // namespace beamhill
--- a/beamhill/dispatch/incarnation_name_test.cc
+++ b/beamhill/dispatch/incarnation_name_test.cc
@@ -5,7 +5,7 @@
 namespace beamhill {
 namespace {
 
-TEST(LifeNameTest, TellsStartsOfOneRunnerApart) {
+TEST(IncarnationNameTest, DistinguishesIncarnationsOfOneRunner) {
   const std::string first = IncarnationName("i-1", UnixMillis(5));
   const std::string second = IncarnationName("i-1", UnixMillis(6));
   EXPECT_NE(first, second);
@@ -14,7 +14,7 @@
   EXPECT_EQ(RunnerOf(second), "i-1");
 }
 
-TEST(LifeNameTest, NameWithoutAStartMayBeAnyLifeOfItsRunner) {
+TEST(IncarnationNameTest, NameWithoutStartTimeMatchesAnyIncarnation) {
   EXPECT_EQ(IncarnationName("i-1", std::nullopt), "i-1");
   EXPECT_EQ(RunnerOf("i-1"), "i-1");
   EXPECT_TRUE(
--- a/beamhill/dispatch/pending_stops.cc
+++ b/beamhill/dispatch/pending_stops.cc
@@ -5,7 +5,8 @@
 namespace beamhill {
 namespace {
 
-// Longer than a runner takes to carry a stop out and its executor to report it.
+// Exceeds the time that a runner takes to stop a run and its executor to report
+// the end.
 constexpr Duration kRepeatInterval = std::chrono::seconds(1);
 
 }  // namespace
--- a/beamhill/dispatch/pending_stops.h
+++ b/beamhill/dispatch/pending_stops.h
@@ -1,17 +1,17 @@
-// The stops that an owner wants of one VM, each from its decision until the VM
-// tells that the run is over or never begins.
+// Stops of runs on one VM that the owner has decided and the VM has not
+// confirmed yet, by reporting that the run has ended or will never start.
 //
-// A stop may be lost with a link, an executor or the owner's authority. So what
-// is kept is the state that is aimed at, and a stop is due again and again
-// until that state is reported. BigFleet's controllers do the same: they
-// compare whole states and send no deltas ("Wire formats" in its paper).
+// A stop can be lost with a link, an executor or the owner's authority. So
+// PendingStops keeps the desired state, and a stop is sent again until the VM
+// reports that state. BigFleet's controllers reconcile in the same way: they
+// compare whole states instead of sending deltas ("Wire formats" in its paper).
 //
-// Pure.
+// Reads no clock and does no I/O.
 //
 //   PendingStops stops;
 //   stops.Add(run, now);
 //   for (const DueStop& stop : stops.TakeDue(now)) Send(stop.run);
-//   stops.Remove(run);  // It is over.
+//   stops.Remove(run);  // The run has ended.
 #ifndef BEAMHILL_DISPATCH_PENDING_STOPS_H_
 #define BEAMHILL_DISPATCH_PENDING_STOPS_H_
 
@@ -27,18 +27,17 @@
 
 struct DueStop {
   RunRef run;
-  bool repeated = false;  // It was sent before.
+  bool repeated = false;  // Whether the stop was sent before.
 };
 
 class PendingStops {
  public:
-  // The run is to be stopped, due at once; nothing changes when it was to be
-  // stopped already.
+  // Adds a stop of the run, due at once. Does nothing if there is one already.
   void Add(const RunRef& run, TimePoint now);
-  // The run is over, or the VM does not have it.
+  // Call when the run has ended or the VM does not have it.
   void Remove(const RunRef& run) { stops_.erase(run); }
   void Clear() { stops_.clear(); }
-  // What was sent so far may be lost: all of them are due.
+  // Makes all stops due, since those sent so far may be lost.
   void MakeAllDue();
 
   bool Has(const RunRef& run) const { return stops_.count(run) > 0; }
@@ -46,15 +45,15 @@
   size_t size() const { return stops_.size(); }
   std::vector<RunRef> Runs() const;
 
-  // Those that are due, which count as sent then.
+  // Returns the stops that are due, and marks them as sent at `now`.
   std::vector<DueStop> TakeDue(TimePoint now);
 
-  // For how long the oldest one has been wanted; zero without any.
+  // Time since the oldest stop was added; zero if there is none.
   Duration OldestAge(TimePoint now) const;
 
  private:
   struct Stop {
-    TimePoint since{};
+    TimePoint since{};  // When it was added.
     std::optional<TimePoint> sent_at;
     bool due = true;
   };
--- a/beamhill/dispatch/pending_stops_test.cc
+++ b/beamhill/dispatch/pending_stops_test.cc
@@ -17,7 +17,7 @@
 
 RunRef RunOf(uint32_t index) { return {{"w", 0, 0, index}, 1}; }
 
-TEST(PendingStopsTest, OneIsDueAtOnceAndAgainUntilItIsRemoved) {
+TEST(PendingStopsTest, StopIsDueAtOnceAndAgainUntilItIsRemoved) {
   PendingStops stops;
   stops.Add(RunOf(1), kNow);
   stops.Add(RunOf(1), kNow);
@@ -31,7 +31,7 @@
   EXPECT_THAT(stops.TakeDue(kNow + seconds(9)), IsEmpty());
 }
 
-TEST(PendingStopsTest, WhatMayBeLostIsDueAtOnce) {
+TEST(PendingStopsTest, MakeAllDueRepeatsSentStopsAtOnce) {
   PendingStops stops;
   stops.Add(RunOf(1), kNow);
   stops.Add(RunOf(2), kNow);
@@ -40,7 +40,7 @@
   EXPECT_THAT(stops.TakeDue(kNow), SizeIs(2));
 }
 
-TEST(PendingStopsTest, AgeIsThatOfTheOldestHoweverOftenItWasSent) {
+TEST(PendingStopsTest, OldestAgeCountsFromTheFirstAdd) {
   PendingStops stops;
   EXPECT_EQ(stops.OldestAge(kNow), Duration(0));
   stops.Add(RunOf(1), kNow);
--- a/beamhill/dispatch/run_log.cc
+++ b/beamhill/dispatch/run_log.cc
@@ -3,8 +3,8 @@
 namespace beamhill {
 namespace {
 
-// Keeps lines below 4 KiB with the names of VMs that the users have.
-constexpr size_t kMostRunsOfLine = 60;
+// Keeps lines below 4 KiB with VM names of the usual length.
+constexpr size_t kMaxRunsPerLine = 60;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   const Key key{event, run.task.workflow, run.task.round, run.task.step, note};
   const auto known = line_of_.find(key);
   const bool fits = known != line_of_.end() &&
-                    lines_[known->second].second.size() < kMostRunsOfLine;
+                    lines_[known->second].second.size() < kMaxRunsPerLine;
   if (!fits) {
     line_of_[key] = lines_.size();
     lines_.emplace_back(key, std::vector<Entry>{});
--- a/beamhill/dispatch/run_log.h
+++ b/beamhill/dispatch/run_log.h
@@ -1,6 +1,5 @@
-// Puts decisions about single runs of one step that fall together into one log
-// line: a burst starts and ends runs by the hundred, and a line each would
-// drown all else.
+// Combines decisions about runs of the same step into one log line: hundreds of
+// runs may start and end at once, and one line for each would flood the log.
 //
 //   RunLog log(on_decision);
 //   log.Note("run_ended", {task, 2}, "vm-3", "done");
@@ -20,21 +19,23 @@
 
 namespace beamhill {
 
-// Called for each decision that touches a workflow, for the log.
+// Receives the log entry of each decision about a workflow.
 using DecisionHook =
     std::function<void(const std::string& workflow, const std::string& event,
                        const std::string& detail)>;
 
 class RunLog {
  public:
-  // Without a hook nothing is kept.
+  // Does nothing if `hook` is empty. The hook must outlive the log.
   explicit RunLog(const DecisionHook& hook) : hook_(hook) {}
 
-  // `note` says what goes for all runs of the line: an image, a reason.
+  // Adds a run to the line of its event, step and note. `note` applies to all
+  // runs of the line, such as an image or a reason.
   void Note(const char* event, const RunRef& run, const std::string& vm,
             const std::string& note);
-  // One line for each event, step and note: "ROUND.STEP note: " and then
-  // "INDEX/RUN@VM" for each run, in the order in which they were noted.
+  // Writes the lines to the hook: "ROUND.STEP note: " followed by
+  // "INDEX/RUN@VM" for each run, in the order in which they were added. Long
+  // lines are split.
   void Flush();
 
  private:
@@ -48,9 +49,9 @@
       std::tuple<std::string, std::string, uint32_t, uint32_t, std::string>;
 
   const DecisionHook& hook_;
-  // In the order of the first run of each line.
+  // Ordered by the first run of each line.
   std::vector<std::pair<Key, std::vector<Entry>>> lines_;
-  std::map<Key, size_t> line_of_;
+  std::map<Key, size_t> line_of_;  // Index of the open line in `lines_`.
 };
 
 }  // namespace beamhill
--- a/beamhill/dispatch/run_log_test.cc
+++ b/beamhill/dispatch/run_log_test.cc
@@ -1,4 +1,4 @@
-// How lines about single runs are put together.
+// Tests of how runs are combined into log lines.
 #include "beamhill/dispatch/run_log.h"
 
 #include <gmock/gmock.h>
@@ -21,7 +21,7 @@
   RunLog log_{hook_};
 };
 
-TEST_F(RunLogTest, RunsOfAStepShareALineByTheirNote) {
+TEST_F(RunLogTest, RunsOfOneStepWithTheSameNoteShareALine) {
   log_.Note("run_ended", {{"w", 0, 1, 4}, 2}, "vm-3", "done");
   log_.Note("run_ended", {{"w", 0, 1, 5}, 1}, "vm-3", "failed");
   log_.Note("run_ended", {{"w", 0, 1, 7}, 1}, "vm-5", "done");
@@ -31,7 +31,7 @@
                                   "run_ended w 0.1 failed: 5/1@vm-3"));
 }
 
-TEST_F(RunLogTest, LinesAreBounded) {
+TEST_F(RunLogTest, LongLinesAreSplit) {
   for (uint32_t i = 0; i < 130; ++i) {
     log_.Note("run_ordered", {{"w", 0, 0, i}, 1}, "side-chingeltei-240", "");
   }
