--- a/beamhill/dispatch/best_effort_rank.cc
+++ b/beamhill/dispatch/best_effort_rank.cc
@@ -6,20 +6,21 @@
 namespace beamhill {
 namespace {
 
-// Above the work of any workflow in core-seconds, and above any time in
-// seconds.
-constexpr double kClassWidth = 1e9;
-// Orders within a class stay below its end.
-constexpr double kLast = kClassWidth - 1;
+// Width of the range of ranks of each Lateness. Exceeds the remaining work of
+// any workflow in core-seconds, and any due time in seconds.
+constexpr double kLatenessWidth = 1e9;
+// Highest rank within such a range.
+constexpr double kMaxRankInRange = kLatenessWidth - 1;
 
 }  // namespace
 
-double BestEffortRank(Lateness lateness, double work, TimePoint due) {
-  const double age =
+double BestEffortRank(Lateness lateness, double remaining_work, TimePoint due) {
+  const double due_seconds =
       std::chrono::duration<double>(due.time_since_epoch()).count();
-  const double rank = lateness == Lateness::kTooLate ? age : work;
-  return static_cast<int>(lateness) * kClassWidth +
-         std::clamp(rank, 0.0, kLast);
+  const double rank =
+      lateness == Lateness::kTooLate ? due_seconds : remaining_work;
+  return static_cast<int>(lateness) * kLatenessWidth +
+         std::clamp(rank, 0.0, kMaxRankInRange);
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/best_effort_rank.h
+++ b/beamhill/dispatch/best_effort_rank.h
@@ -1,14 +1,15 @@
-// In which order filling work goes, and yields, under overload: one number, the
-// lowest first, that the owner and the executors compare alike.
+// Ranks best-effort work under overload. The owner starts, and executors pace,
+// best-effort tasks in ascending order of rank: the one with the lowest rank
+// goes first and is slowed down last.
 //
-// The load that it answers: filling work asks for 1.2 to 5 times what services
-// leave. Sharing alike, or first come first served, makes all of it late; least
-// remaining work first has most of it in time. What can't be in time any more
-// yields to what can; what comes too late in any case goes by age, so that the
-// oldest gets on. Nothing starves: see the least shares in dispatch_fillers.cc
-// and executor_pacing.cc.
+// Best-effort work may request 1.2 to 5 times the processor time that serving
+// tasks leave. Sharing it equally, or in order of arrival, would make all of
+// the work late; least remaining work first finishes most of it in time. Work
+// that can no longer be in time yields to work that can. Work that is too late
+// to be of use goes by age, so that the oldest makes progress. Nothing starves:
+// see the minimum shares in dispatch_fillers.cc and executor_pacing.cc.
 //
-//   double order = BestEffortRank(Lateness::kInTime, /*work=*/12.5, due);
+//   double rank = BestEffortRank(Lateness::kInTime, remaining_work, due);
 #ifndef BEAMHILL_DISPATCH_BEST_EFFORT_RANK_H_
 #define BEAMHILL_DISPATCH_BEST_EFFORT_RANK_H_
 
@@ -16,14 +17,16 @@
 
 namespace beamhill {
 
+// Whether work can still meet its objective.
 enum class Lateness : int {
   kInTime = 0,
-  kLate = 1,     // After its objective, and still worth something.
-  kTooLate = 2,  // Worth nothing to its caller any more.
+  kLate = 1,     // Misses its objective, but is still useful.
+  kTooLate = 2,  // Of no more use to its caller.
 };
 
-// `work` is what is left of it, in core-seconds; `due` when its objective ends.
-double BestEffortRank(Lateness lateness, double work, TimePoint due);
+// Returns the rank of work that needs `remaining_work` core-seconds and whose
+// objective ends at `due`. Lower ranks go first.
+double BestEffortRank(Lateness lateness, double remaining_work, TimePoint due);
 
 }  // namespace beamhill
 
--- a/beamhill/dispatch/pace_policy_selector.cc
+++ b/beamhill/dispatch/pace_policy_selector.cc
@@ -5,25 +5,27 @@
 namespace beamhill {
 namespace {
 
-// Asked over free from which on fillers are no longer held back: what waits
-// already is as much as works.
-constexpr double kPressedAbove = 1.2;
-// And below which they are again. The gap keeps one wide workflow from turning
-// it back and forth.
-constexpr double kCalmBelow = 0.7;
-// Weight of the newest of the observations, each half a second: single wide
-// steps that start at once don't count, bursts count within a second.
+// Above this ratio of requested to free cores best-effort tasks run at full
+// pace: as much work is waiting as is running.
+constexpr double kGuardedAbove = 1.2;
+// Below this ratio they are slowed down again. The gap prevents a single
+// workflow with many tasks from switching the policy back and forth.
+constexpr double kCautiousBelow = 0.7;
+// Weight of the newest observation; there is one every half second. A single
+// step with many tasks that start at once has no effect, while a backlog has
+// one within a second.
 constexpr double kSmoothing = 0.4;
-// So that a deployment without any room counts as full.
-constexpr double kLeastFreeCores = 1;
+// Lower bound of the divisor, so that a deployment without free cores counts as
+// full.
+constexpr double kMinFreeCores = 1;
 
 }  // namespace
 
-void PacePolicySelector::Observe(double asked_cores, double free_cores) {
-  const double ratio = asked_cores / std::max(free_cores, kLeastFreeCores);
+void PacePolicySelector::Observe(double requested_cores, double free_cores) {
+  const double ratio = requested_cores / std::max(free_cores, kMinFreeCores);
   ratio_ += kSmoothing * (ratio - ratio_);
-  if (ratio_ > kPressedAbove) policy_ = PacePolicy::kGuarded;
-  if (ratio_ < kCalmBelow) policy_ = PacePolicy::kCautious;
+  if (ratio_ > kGuardedAbove) policy_ = PacePolicy::kGuarded;
+  if (ratio_ < kCautiousBelow) policy_ = PacePolicy::kCautious;
 }
 
 }  // namespace beamhill
--- a/beamhill/dispatch/pace_policy_selector.h
+++ b/beamhill/dispatch/pace_policy_selector.h
@@ -1,18 +1,18 @@
-// Tells from what fillers ask for, against what there is for them, how
-// executors are to pace them.
+// Selects the policy by which executors pace best-effort tasks, from the cores
+// that these tasks request and the cores that are free for them.
 //
-// Answers two loads that want the opposite. While all fillers fit, holding them
-// back at once keeps services calm and makes nobody late. Once they ask for
-// more than there is, work that is held back comes on top of what arrives: its
-// backlog grows all day, nearly all of it ends too late, and services bear the
-// backlog too. Then fillers work at their whole pace, but for the rests that
-// bound harm.
+// While the tasks fit, slowing them down at once protects the latency of
+// serving tasks and makes no workflow late. When they request more than is
+// free, work that is slowed down adds to the work that arrives: the backlog
+// keeps growing, nearly all of it finishes too late, and serving tasks suffer
+// from the backlog as well. Then best-effort tasks run at full pace, apart from
+// the pauses that limit interference.
 //
-// Pure.
+// Reads no clock and does no I/O.
 //
-//   PacePolicySelector load;
-//   load.Observe(asked_cores, free_cores);
-//   if (load.policy() == PacePolicy::kGuarded) ...
+//   PacePolicySelector selector;
+//   selector.Observe(requested_cores, free_cores);
+//   if (selector.policy() == PacePolicy::kGuarded) ...
 #ifndef BEAMHILL_DISPATCH_PACE_POLICY_SELECTOR_H_
 #define BEAMHILL_DISPATCH_PACE_POLICY_SELECTOR_H_
 
@@ -22,12 +22,12 @@
 
 class PacePolicySelector {
  public:
-  // What the tasks that fill ask for, running and waiting, and what the others
-  // leave of the processors; in cores. To be called at even intervals.
-  void Observe(double asked_cores, double free_cores);
+  // Takes the cores that running and waiting best-effort tasks request, and the
+  // cores that other tasks leave free. Must be called at regular intervals.
+  void Observe(double requested_cores, double free_cores);
 
   PacePolicy policy() const { return policy_; }
-  // Asked over free, smoothed.
+  // Smoothed ratio of requested to free cores.
   double ratio() const { return ratio_; }
 
  private:
--- a/beamhill/dispatch/pace_policy_selector_test.cc
+++ b/beamhill/dispatch/pace_policy_selector_test.cc
@@ -5,38 +5,38 @@
 namespace beamhill {
 namespace {
 
-TEST(FillerLoadTest, HoldsBackWhileAllFits) {
-  PacePolicySelector load;
-  for (int i = 0; i < 20; ++i) load.Observe(90, 100);
-  EXPECT_EQ(load.policy(), PacePolicy::kCautious);
+TEST(PacePolicySelectorTest, CautiousWhileAllTasksFit) {
+  PacePolicySelector selector;
+  for (int i = 0; i < 20; ++i) selector.Observe(90, 100);
+  EXPECT_EQ(selector.policy(), PacePolicy::kCautious);
 }
 
-TEST(FillerLoadTest, TurnsWithinTwoSecondsOfABacklog) {
-  PacePolicySelector load;
-  for (int i = 0; i < 4; ++i) load.Observe(200, 100);
-  EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
+TEST(PacePolicySelectorTest, GuardedWithinTwoSecondsOfABacklog) {
+  PacePolicySelector selector;
+  for (int i = 0; i < 4; ++i) selector.Observe(200, 100);
+  EXPECT_EQ(selector.policy(), PacePolicy::kGuarded);
 }
 
-TEST(FillerLoadTest, OneWideStepThatStartsAtOnceChangesNothing) {
-  PacePolicySelector load;
-  for (int i = 0; i < 20; ++i) load.Observe(50, 100);
-  load.Observe(200, 100);
-  EXPECT_EQ(load.policy(), PacePolicy::kCautious);
+TEST(PacePolicySelectorTest, OneBriefPeakHasNoEffect) {
+  PacePolicySelector selector;
+  for (int i = 0; i < 20; ++i) selector.Observe(50, 100);
+  selector.Observe(200, 100);
+  EXPECT_EQ(selector.policy(), PacePolicy::kCautious);
 }
 
-TEST(FillerLoadTest, HoldsBackAgainOnceTheBacklogIsWorkedOff) {
-  PacePolicySelector load;
-  for (int i = 0; i < 10; ++i) load.Observe(200, 100);
-  for (int i = 0; i < 10; ++i) load.Observe(100, 100);
-  EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
-  for (int i = 0; i < 10; ++i) load.Observe(40, 100);
-  EXPECT_EQ(load.policy(), PacePolicy::kCautious);
+TEST(PacePolicySelectorTest, CautiousAgainAfterTheBacklog) {
+  PacePolicySelector selector;
+  for (int i = 0; i < 10; ++i) selector.Observe(200, 100);
+  for (int i = 0; i < 10; ++i) selector.Observe(100, 100);
+  EXPECT_EQ(selector.policy(), PacePolicy::kGuarded);
+  for (int i = 0; i < 10; ++i) selector.Observe(40, 100);
+  EXPECT_EQ(selector.policy(), PacePolicy::kCautious);
 }
 
-TEST(FillerLoadTest, NoRoomAtAllIsABacklog) {
-  PacePolicySelector load;
-  for (int i = 0; i < 4; ++i) load.Observe(20, -5);
-  EXPECT_EQ(load.policy(), PacePolicy::kGuarded);
+TEST(PacePolicySelectorTest, NoFreeCoresCountAsABacklog) {
+  PacePolicySelector selector;
+  for (int i = 0; i < 4; ++i) selector.Observe(20, -5);
+  EXPECT_EQ(selector.policy(), PacePolicy::kGuarded);
 }
 
 }  // namespace
--- a/beamhill/dispatch/run_time_estimator.cc
+++ b/beamhill/dispatch/run_time_estimator.cc
@@ -7,13 +7,14 @@
 namespace beamhill {
 namespace {
 
-// Steps of a queue before what they took is heeded.
-constexpr int kEnoughSteps = 8;
-// Weight of a new step once there are many: some 40 count, half a minute of the
-// users' days.
-constexpr double kLeastWeight = 0.025;
-// Keeps a queue whose steps all took alike from being certain.
-constexpr double kLeastVariance = 0.01;
+// Observations of a queue before they affect estimates.
+constexpr int kMinSteps = 8;
+// Weight of a new observation once there are many: about the last 40 count,
+// which arrive within half a minute.
+constexpr double kMinWeight = 0.025;
+// Lower bound of variances, so that equal observations do not outweigh
+// everything else.
+constexpr double kMinVariance = 0.01;
 
 double LogSeconds(Duration time) {
   return std::log(std::chrono::duration<double>(time).count());
@@ -21,10 +22,10 @@
 
 }  // namespace
 
-void RunTimeEstimator::Spread::Add(double value, double weight) {
-  const double moved = value - mean;
-  mean += weight * moved;
-  variance = (1 - weight) * (variance + weight * moved * moved);
+void RunTimeEstimator::Distribution::Add(double value, double weight) {
+  const double deviation = value - mean;
+  mean += weight * deviation;
+  variance = (1 - weight) * (variance + weight * deviation * deviation);
 }
 
 void RunTimeEstimator::Observe(const std::string& queue, Duration declared,
@@ -32,25 +33,27 @@
   if (declared <= Duration(0) || measured <= Duration(0)) return;
   Queue& known = queues_[queue];
   ++known.steps;
-  const double weight = std::max(kLeastWeight, 1.0 / known.steps);
-  known.taken.Add(LogSeconds(measured), weight);
-  known.off.Add(LogSeconds(declared) - LogSeconds(measured), weight);
+  const double weight = std::max(kMinWeight, 1.0 / known.steps);
+  known.log_run_time.Add(LogSeconds(measured), weight);
+  known.log_error.Add(LogSeconds(declared) - LogSeconds(measured), weight);
 }
 
 Duration RunTimeEstimator::Expect(const std::string& queue,
                                   Duration declared) const {
   const auto it = queues_.find(queue);
-  if (it == queues_.end() || it->second.steps < kEnoughSteps ||
+  if (it == queues_.end() || it->second.steps < kMinSteps ||
       declared <= Duration(0)) {
     return declared;
   }
   const Queue& known = it->second;
-  const double guess = LogSeconds(declared) - known.off.mean;
-  const double guess_variance = std::max(known.off.variance, kLeastVariance);
-  const double taken_variance = std::max(known.taken.variance, kLeastVariance);
+  const double corrected = LogSeconds(declared) - known.log_error.mean;
+  const double error_variance =
+      std::max(known.log_error.variance, kMinVariance);
+  const double run_variance =
+      std::max(known.log_run_time.variance, kMinVariance);
   const double expected =
-      (guess * taken_variance + known.taken.mean * guess_variance) /
-      (taken_variance + guess_variance);
+      (corrected * run_variance + known.log_run_time.mean * error_variance) /
+      (run_variance + error_variance);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(std::exp(expected)));
 }
--- a/beamhill/dispatch/run_time_estimator.h
+++ b/beamhill/dispatch/run_time_estimator.h
@@ -1,16 +1,19 @@
-// How long tasks really run, where submitters' guesses are rough.
+// Estimates how long tasks run, from the run times that submitters declare and
+// the run times measured for earlier steps of the same queue.
 //
-// The load that it answers: guesses are off by half either way, and who goes
-// first under overload, and who is late, hangs on them. A queue's tasks are
-// alike enough that what its steps took tells something of the next one: a
-// guess is drawn towards that, the more the rougher the queue's guesses have
-// been. Both are kept as logarithms, since both spread by factors.
+// Declared run times are off by half in either direction, but under overload
+// they decide which tasks run first and which count as late. Tasks of one queue
+// are similar enough that earlier run times help: the estimate lies between the
+// declared time and the queue's mean, closer to the mean the less accurate the
+// queue's declarations have been. Both are kept as logarithms, since both vary
+// by factors.
 //
-// Pure. One observation for each step that is done, however wide it was.
+// Reads no clock and does no I/O. Takes one observation for each finished step,
+// independent of its number of tasks.
 //
-//   RunTimeEstimator times;
-//   times.Observe("batch", declared, measured);
-//   Duration run = times.Expect("batch", declared);
+//   RunTimeEstimator estimator;
+//   estimator.Observe("batch", declared, measured);
+//   Duration expected = estimator.Expect("batch", declared);
 #ifndef BEAMHILL_DISPATCH_RUN_TIME_ESTIMATOR_H_
 #define BEAMHILL_DISPATCH_RUN_TIME_ESTIMATOR_H_
 
@@ -23,23 +26,23 @@
 
 class RunTimeEstimator {
  public:
-  // A step of the queue was declared to take so long a task, and took so long.
+  // Records the declared and the measured run time of a finished step's tasks.
   void Observe(const std::string& queue, Duration declared, Duration measured);
-  // What a task of the queue with this guess is expected to take. The guess
-  // itself as long as little is known, or without one.
+  // Returns the expected run time of a task of the queue. This is `declared`
+  // itself if it is zero or the queue has too few observations.
   Duration Expect(const std::string& queue, Duration declared) const;
 
  private:
-  // Mean and variance of what was added, the newest counting most.
-  struct Spread {
+  // Exponentially weighted mean and variance.
+  struct Distribution {
     double mean = 0;
     double variance = 0;
     void Add(double value, double weight);
   };
   struct Queue {
     int steps = 0;
-    Spread taken;  // Logarithm of the time in seconds.
-    Spread off;    // Logarithm of the guess over the time.
+    Distribution log_run_time;  // Logarithm of the measured time in seconds.
+    Distribution log_error;     // Logarithm of declared over measured time.
   };
 
   std::map<std::string, Queue> queues_;
