--- a/beamhill/halls/evacuations.h
+++ b/beamhill/halls/evacuations.h
@@ -1,14 +1,15 @@
-// Which data halls the operators have asked to be emptied: nothing more is to
-// be started on their VMs until the request is withdrawn.
+// Data halls that operators evacuate: no more tasks are started on their VMs
+// until the request is withdrawn.
 //
-// Each scheduler reads the operators' table itself, and gets copies from its
-// peers in case the table turns it away; what holds is the newest.
+// Each scheduler reads the requests from the operators' table, and receives
+// copies from its peers in case the table rejects its calls. The newest list is
+// in force.
 //
-//   EvacuationTracker board;
-//   board.OnRequested("north");       // A row of the operators' table ...
-//   board.OnWithdrawn("south");
-//   board.OnCurrent(41);              // ... which is read up to this version.
-//   if (board.newest().Holds("north")) ...
+//   EvacuationTracker tracker;
+//   tracker.OnRequested("north");  // Rows of the operators' table ...
+//   tracker.OnWithdrawn("south");
+//   tracker.OnCurrent(41);         // ... which was read up to this version.
+//   if (tracker.newest().Holds("north")) ...
 #ifndef BEAMHILL_HALLS_EVACUATIONS_H_
 #define BEAMHILL_HALLS_EVACUATIONS_H_
 
@@ -20,14 +21,15 @@
 
 namespace beamhill {
 
-// The halls to be emptied, as of one version of the operators' table.
+// The halls to be evacuated, as of one version of the operators' table.
 struct Evacuations {
-  bool known = false;              // False until the table has been read once.
+  bool known = false;              // Whether the table has been read.
   uint64_t version = 0;            // Of the table.
   std::vector<std::string> halls;  // Sorted.
 
+  // Whether the hall is to be evacuated.
   bool Holds(const std::string& hall) const;
-  // Whether it says more than the other: by version, or as the only one known.
+  // Compares the versions; a known list is newer than an unknown one.
   bool IsNewerThan(const Evacuations& other) const;
 
   template <typename S>
@@ -36,21 +38,22 @@
   }
 };
 
+// Keeps the newest list of halls to be evacuated.
 class EvacuationTracker {
  public:
-  // A request was read in the table, or its withdrawal. Counts from the next
-  // OnCurrent on.
+  // A request, or its withdrawal, was read from the table. Takes effect at the
+  // next OnCurrent.
   void OnRequested(const std::string& hall) { requested_.insert(hall); }
   void OnWithdrawn(const std::string& hall) { requested_.erase(hall); }
-  // All of the table up to this version has been read.
+  // The table has been read completely up to this version.
   void OnCurrent(uint64_t version);
-  // A peer's; an older one changes nothing.
+  // A peer has sent its list; an older one is ignored.
   void OnCopy(const Evacuations& copy);
 
   const Evacuations& newest() const { return newest_; }
 
  private:
-  std::set<std::string> requested_;  // As read here.
+  std::set<std::string> requested_;  // As read from the table.
   Evacuations newest_;
 };
 
--- a/beamhill/halls/evacuations_test.cc
+++ b/beamhill/halls/evacuations_test.cc
@@ -9,42 +9,42 @@
 using testing::ElementsAre;
 using testing::IsEmpty;
 
-TEST(EvacuationBoardTest, NothingIsKnownBeforeTheTableIsRead) {
-  EvacuationTracker board;
-  board.OnRequested("north");
-  EXPECT_FALSE(board.newest().known);
-  board.OnCurrent(0);
-  EXPECT_TRUE(board.newest().known);
-  EXPECT_TRUE(board.newest().Holds("north"));
-  EXPECT_FALSE(board.newest().Holds("south"));
+TEST(EvacuationTrackerTest, ListIsUnknownBeforeTheTableIsRead) {
+  EvacuationTracker tracker;
+  tracker.OnRequested("north");
+  EXPECT_FALSE(tracker.newest().known);
+  tracker.OnCurrent(0);
+  EXPECT_TRUE(tracker.newest().known);
+  EXPECT_TRUE(tracker.newest().Holds("north"));
+  EXPECT_FALSE(tracker.newest().Holds("south"));
 }
 
-TEST(EvacuationBoardTest, WithdrawnAndRequestedAgain) {
-  EvacuationTracker board;
-  board.OnRequested("north");
-  board.OnRequested("east");
-  board.OnCurrent(5);
-  EXPECT_THAT(board.newest().halls, ElementsAre("east", "north"));
-  board.OnWithdrawn("north");
-  board.OnCurrent(6);
-  EXPECT_THAT(board.newest().halls, ElementsAre("east"));
-  board.OnWithdrawn("east");
-  board.OnRequested("east");
-  board.OnCurrent(8);
-  EXPECT_THAT(board.newest().halls, ElementsAre("east"));
+TEST(EvacuationTrackerTest, HallCanBeWithdrawnAndRequestedAgain) {
+  EvacuationTracker tracker;
+  tracker.OnRequested("north");
+  tracker.OnRequested("east");
+  tracker.OnCurrent(5);
+  EXPECT_THAT(tracker.newest().halls, ElementsAre("east", "north"));
+  tracker.OnWithdrawn("north");
+  tracker.OnCurrent(6);
+  EXPECT_THAT(tracker.newest().halls, ElementsAre("east"));
+  tracker.OnWithdrawn("east");
+  tracker.OnRequested("east");
+  tracker.OnCurrent(8);
+  EXPECT_THAT(tracker.newest().halls, ElementsAre("east"));
 }
 
-// Copies from peers come in any order, beside what is read here.
-TEST(EvacuationBoardTest, NewestCopyHolds) {
-  EvacuationTracker board;
-  board.OnCopy({true, 7, {"north"}});
-  board.OnCopy({true, 3, {}});
-  board.OnCopy({false, 9, {}});
-  EXPECT_TRUE(board.newest().Holds("north"));
-  board.OnCurrent(6);  // What is read here trails the copy.
-  EXPECT_TRUE(board.newest().Holds("north"));
-  board.OnCurrent(8);
-  EXPECT_THAT(board.newest().halls, IsEmpty());
+// Copies from peers arrive in any order, and mix with reads of the table.
+TEST(EvacuationTrackerTest, NewestListIsInForce) {
+  EvacuationTracker tracker;
+  tracker.OnCopy({true, 7, {"north"}});
+  tracker.OnCopy({true, 3, {}});
+  tracker.OnCopy({false, 9, {}});
+  EXPECT_TRUE(tracker.newest().Holds("north"));
+  tracker.OnCurrent(6);  // The read is older than the copy.
+  EXPECT_TRUE(tracker.newest().Holds("north"));
+  tracker.OnCurrent(8);
+  EXPECT_THAT(tracker.newest().halls, IsEmpty());
 }
 
 }  // namespace
--- a/beamhill/queues/queue_table.h
+++ b/beamhill/queues/queue_table.h
@@ -1,8 +1,8 @@
-// The queues that callers submit to, and the services whose VMs run their
-// work: the part of the operators' settings that requests are judged by.
+// Queues that callers submit workflows to, and the services whose VMs run them,
+// as the operators' settings define them.
 //
 //   QueueTable table = ...;
-//   const Queue* queue = table.Match("nony24.example", "/lohu930/5c0e", &rest);
+//   const Queue* queue = table.Match("jobs.example", "/batch/5c0e", &rest);
 #ifndef BEAMHILL_QUEUES_QUEUE_TABLE_H_
 #define BEAMHILL_QUEUES_QUEUE_TABLE_H_
 
@@ -15,29 +15,32 @@
 
 namespace beamhill {
 
+// A queue and the requests that are routed to it.
 struct Queue {
   std::string name;
-  std::string host;         // Of the requests; compared without its port.
+  std::string host;         // Host of its requests, without the port.
   std::string path_prefix;  // Ends with '/'.
-  std::string service;
+  std::string service;      // Whose VMs run its workflows.
   QueuePolicy policy;
 };
 
+// A group of VMs.
 struct Service {
   std::string name;
-  // Whether its runners refuse what exceeds their room.
+  // Whether its runners reject runs that exceed their capacity.
   bool enforces_capacity = true;
-  // A reserve whose VMs are off.
+  // Whether it is a reserve whose VMs are switched off.
   bool spare = false;
 };
 
+// The queues and services of one version of the settings.
 struct QueueTable {
-  uint64_t version = 0;  // 0: nothing has been heard yet.
+  uint64_t version = 0;  // 0: no settings have been received yet.
   std::vector<Queue> queues;
   std::vector<Service> services;
 
-  // The queue of the host with the longest prefix of the path, or null.
-  // `rest` gets what follows the prefix.
+  // Returns the queue of the host with the longest matching path prefix, and
+  // sets `rest` to the part of the path after it. Returns null if none matches.
   const Queue* Match(std::string_view host, std::string_view path,
                      std::string* rest) const;
 };
