--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -37,8 +37,9 @@
   std::vector<std::string> without;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
-    if (TicketFor(job, open, vm.status.incarnation, now) != nullptr)
+    if (TicketFor(job, open, vm.status.incarnation, now) != nullptr) {
       return true;
+    }
     if (without.size() < kAskedAtOnce) without.push_back(vm.status.incarnation);
   }
   if (!advice.asked && now >= advice.ask_after && !without.empty()) {
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -20,8 +20,9 @@
 void Dispatcher::Settle(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.incarnation != end.first || vm.settled >= end.second)
+    if (vm.status.incarnation != end.first || vm.settled >= end.second) {
       continue;
+    }
     // Stays unsettled until the VM can be told.
     if (!vm.linked || !vm.answered) continue;
     vm.settled = end.second;
@@ -32,8 +33,9 @@
 Dispatcher::EndsByVm Dispatcher::UnsettledEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.processed > vm.settled)
+    if (vm.processed > vm.settled) {
       ends[name] = {vm.status.incarnation, vm.processed};
+    }
   }
   return ends;
 }
