--- a/beamhill/dispatch/dispatch_best_effort.cc
+++ b/beamhill/dispatch/dispatch_best_effort.cc
@@ -210,7 +210,7 @@
   }
   for (auto& [name, vm] : vms_) {
     vm.cold = vm.cold && now < vm.warm_at;
-    RunTraitsList update{options_.epoch, vm.status.life, {}};
+    RunTraitsList update{options_.epoch, vm.status.incarnation, {}};
     for (auto& [run, held] : vm.held) {
       const Job* job =
           held.best_effort_cpu > 0 ? Find(run.task.workflow) : nullptr;
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -20,18 +20,20 @@
 void Dispatcher::AcknowledgeEnds(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.life != end.first || vm.acked_end >= end.second) continue;
+    if (vm.status.incarnation != end.first || vm.acked_end >= end.second)
+      continue;
     // Sent later, once the VM is reachable.
     if (!vm.linked || !vm.has_inventory) continue;
     vm.acked_end = end.second;
-    Send(name, EndsSettled{options_.epoch, end.first, end.second});
+    Send(name, EndsAcknowledged{options_.epoch, end.first, end.second});
   }
 }
 
 Dispatcher::EndsByVm Dispatcher::UnacknowledgedEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.last_end > vm.acked_end) ends[name] = {vm.status.life, vm.last_end};
+    if (vm.last_end > vm.acked_end)
+      ends[name] = {vm.status.incarnation, vm.last_end};
   }
   return ends;
 }
--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -68,9 +68,9 @@
 }  // namespace
 
 void Dispatcher::RecordLostRunner(const std::string& name, Vm& vm,
-                                  const PastLife& lost, TimePoint now) {
-  if (vm.lost_incarnation != lost.life) {
-    vm.lost_incarnation = lost.life;
+                                  const PastIncarnation& lost, TimePoint now) {
+  if (vm.lost_incarnation != lost.incarnation) {
+    vm.lost_incarnation = lost.incarnation;
     vm.runner_lost_at = now;
   }
   for (const RunRef& run : lost.others) {
--- a/beamhill/dispatch/dispatch_halls.cc
+++ b/beamhill/dispatch/dispatch_halls.cc
@@ -30,7 +30,7 @@
 TimePoint Dispatcher::LatestStart(const Vm& vm, TimePoint now) {
   // The stamp was taken before the heartbeat arrived, so the VM's clock has
   // reached at least this time.
-  return vm.stamp + (now - vm.stamped_at) + kOrderLife;
+  return vm.stamp + (now - vm.stamped_at) + kStartOrderTtl;
 }
 
 void Dispatcher::EvacuateHalls(TimePoint now) {
--- a/beamhill/dispatch/dispatch_halls_test.cc
+++ b/beamhill/dispatch/dispatch_halls_test.cc
@@ -158,7 +158,7 @@
     const auto* starts = std::get_if<StartRuns>(&out.message);
     if (starts == nullptr) continue;
     EXPECT_EQ(starts->latest_start,
-              executor_now + milliseconds(300) + kOrderLife);
+              executor_now + milliseconds(300) + kStartOrderTtl);
     return;
   }
   FAIL() << "nothing was started";
--- a/beamhill/dispatch/dispatch_interference.cc
+++ b/beamhill/dispatch/dispatch_interference.cc
@@ -14,21 +14,23 @@
 constexpr Duration kWeightSlack = std::chrono::milliseconds(3);
 constexpr int kWeightSlackDivisor = 8;
 
-bool SameEffect(const PressureWeight& now, const PressureWeight& sent) {
+bool SameEffect(const InterferenceWeight& now, const InterferenceWeight& sent) {
   const Duration slack = std::max(
       kWeightSlack, std::chrono::abs(sent.per_vm) / kWeightSlackDivisor);
-  return now.serving == sent.serving && now.filling == sent.filling &&
+  return now.serving == sent.serving &&
+         now.best_effort_image == sent.best_effort_image &&
          std::chrono::abs(now.per_vm - sent.per_vm) <= slack;
 }
 
 // Whether an executor that has `sent` needs no update to `now`. Both are sorted
 // by images; pairs that are gone from `now` are ignored.
-bool SameEffect(const std::vector<PressureWeight>& now,
-                const std::vector<PressureWeight>& sent) {
+bool SameEffect(const std::vector<InterferenceWeight>& now,
+                const std::vector<InterferenceWeight>& sent) {
   auto it = sent.begin();
-  for (const PressureWeight& weight : now) {
-    const auto same = [&](const PressureWeight& t) {
-      return t.serving == weight.serving && t.filling == weight.filling;
+  for (const InterferenceWeight& weight : now) {
+    const auto same = [&](const InterferenceWeight& t) {
+      return t.serving == weight.serving &&
+             t.best_effort_image == weight.best_effort_image;
     };
     it = std::find_if(it, sent.end(), same);
     if (it == sent.end() || !SameEffect(weight, *it)) return false;
@@ -39,33 +41,33 @@
 }  // namespace
 
 void Dispatcher::OnInterference(const std::string& vm,
-                                const VmPressure& report) {
+                                const VmInterference& report) {
   Vm& state = vms_[vm];
   const int64_t whole = state.status.capacity.cpu_millis;
   if (report.epoch != options_.epoch || whole <= 0) return;
   ClassLoads loads;
-  for (const FillingLoad& load : report.filling) {
+  for (const BestEffortLoad& load : report.best_effort_loads) {
     loads[load.image] =
         static_cast<double>(load.cpu_millis) / static_cast<double>(whole);
   }
   InvalidateCaches(state);
   state.paces.clear();
   state.best_effort_cpu_in_use = 0;
-  for (const FillingLoad& load : report.filling) {
+  for (const BestEffortLoad& load : report.best_effort_loads) {
     state.paces[load.image] = load.percent;
     state.best_effort_cpu_in_use += load.cpu_millis;
   }
   // While a runner warms up, tails are long without any interference.
   if (state.cold) return;
-  for (const ServingTail& serving : report.serving) {
+  for (const ServingTailLatency& serving : report.serving) {
     interference_.Observe(serving.image, loads, serving.tail);
   }
 }
 
-PressureRecord Dispatcher::LearnedInterference() const {
-  PressureRecord record;
+InterferenceRecord Dispatcher::LearnedInterference() const {
+  InterferenceRecord record;
   for (const auto& summary : interference_.Summaries()) {
-    PressureRecord::Image image{summary.serving, summary.alone, {}};
+    InterferenceRecord::Image image{summary.serving, summary.alone, {}};
     for (const auto& weight : summary.weights) {
       image.weights.push_back(
           {weight.serving, weight.best_effort, weight.per_vm});
@@ -75,12 +77,12 @@
   return record;
 }
 
-void Dispatcher::RestoreInterference(const PressureRecord& record) {
-  for (const PressureRecord::Image& image : record.images) {
+void Dispatcher::RestoreInterference(const InterferenceRecord& record) {
+  for (const InterferenceRecord::Image& image : record.images) {
     PairwiseInterference::Summary summary{image.serving, image.alone, {}};
-    for (const PressureWeight& weight : image.weights) {
+    for (const InterferenceWeight& weight : image.weights) {
       summary.weights.push_back(
-          {weight.serving, weight.filling, weight.per_vm});
+          {weight.serving, weight.best_effort_image, weight.per_vm});
     }
     interference_.Restore(summary);
   }
@@ -134,8 +136,8 @@
   }
 }
 
-std::vector<PressureWeight> Dispatcher::WeightsOn(const Vm& vm) const {
-  std::vector<PressureWeight> weights;
+std::vector<InterferenceWeight> Dispatcher::WeightsOn(const Vm& vm) const {
+  std::vector<InterferenceWeight> weights;
   for (const auto& [serving, runs] : vm.serving) {
     for (const auto& [best_effort, cpu] : vm.best_effort) {
       const auto weight = interference_.WeightOf(serving, best_effort);
@@ -147,10 +149,10 @@
 
 void Dispatcher::SendWeightsTo(const std::string& name, Vm& vm) {
   vm.has_new_image = false;
-  std::vector<PressureWeight> weights = WeightsOn(vm);
+  std::vector<InterferenceWeight> weights = WeightsOn(vm);
   if (weights.empty() || SameEffect(weights, vm.sent_weights)) return;
   vm.sent_weights = weights;
-  Send(name, PressureWeights{options_.epoch, std::move(weights)});
+  Send(name, InterferenceWeights{options_.epoch, std::move(weights)});
 }
 
 void Dispatcher::RefitInterference() {
--- a/beamhill/dispatch/dispatch_interference_test.cc
+++ b/beamhill/dispatch/dispatch_interference_test.cc
@@ -144,7 +144,7 @@
   dispatcher_->Tick(now_, kUnixNow);
   const std::vector<VmMessage> sent = dispatcher_->TakeMessages();
   ASSERT_THAT(sent, SizeIs(2));  // The weights precede the start.
-  const auto* weights = std::get_if<PressureWeights>(&sent[0].message);
+  const auto* weights = std::get_if<InterferenceWeights>(&sent[0].message);
   ASSERT_NE(weights, nullptr);
   EXPECT_EQ(sent[0].vm, insensitive_vm);
   ASSERT_THAT(weights->weights, SizeIs(1));
@@ -156,7 +156,7 @@
 
 TEST_F(DispatcherInterferenceTest, NextOwnerRestoresLearnedInterference) {
   LearnInterference(ServeInsensitiveAndSensitive());
-  const PressureRecord learned = dispatcher_->LearnedInterference();
+  const InterferenceRecord learned = dispatcher_->LearnedInterference();
   const std::string insensitive_vm = ServeInsensitiveAndSensitive();
   dispatcher_->RestoreInterference(learned);
   dispatcher_->AddWorkflow(BestEffortWorkflow(), std::nullopt, now_);
--- a/beamhill/dispatch/dispatch_messages.cc
+++ b/beamhill/dispatch/dispatch_messages.cc
@@ -9,7 +9,7 @@
 using messages_internal::Json;
 using messages_internal::ParseCbor;
 
-// Each structure lists its own fields.
+// Provides the codec with the fields of each structure, in wire order.
 struct DispatchFields {
   template <typename T>
   static auto Of(T& v) {
@@ -72,7 +72,7 @@
   return EncodeAny(record);
 }
 std::string EncodeRecord(const VmRecord& record) { return EncodeAny(record); }
-std::string EncodeRecord(const PressureRecord& record) {
+std::string EncodeRecord(const InterferenceRecord& record) {
   return EncodeAny(record);
 }
 
@@ -80,8 +80,9 @@
 Result<Record> DecodeRecord(std::string_view bytes) {
   Record record;
   if (!Codec::From(ParseCbor(bytes), &record)) {
-    return Error{ErrorCode::kInternal, "a stored record has another shape",
-                 "it was written by another version of beamhill"};
+    return Error{ErrorCode::kInternal,
+                 "a stored record does not have the expected fields",
+                 "check whether another version of beamhill wrote it"};
   }
   return record;
 }
@@ -90,6 +91,7 @@
 template Result<ProgressRecord> DecodeRecord<ProgressRecord>(std::string_view);
 template Result<OwnerRecord> DecodeRecord<OwnerRecord>(std::string_view);
 template Result<VmRecord> DecodeRecord<VmRecord>(std::string_view);
-template Result<PressureRecord> DecodeRecord<PressureRecord>(std::string_view);
+template Result<InterferenceRecord> DecodeRecord<InterferenceRecord>(
+    std::string_view);
 
 }  // namespace beamhill
--- a/beamhill/dispatch/dispatch_placement.cc
+++ b/beamhill/dispatch/dispatch_placement.cc
@@ -94,9 +94,9 @@
 
 double Dispatcher::BestEffortRankOf(const Job& job, uint32_t round,
                                     TimePoint now, UnixMillis unix_now) {
-  return YieldOrder(LatenessOf(job, round, now, unix_now),
-                    job.progress.RemainingCoreSeconds(round),
-                    DueOf(job, round, now, unix_now));
+  return BestEffortRank(LatenessOf(job, round, now, unix_now),
+                        job.progress.RemainingCoreSeconds(round),
+                        DueOf(job, round, now, unix_now));
 }
 
 void Dispatcher::UpdateBestEffortRank(Job& job, TimePoint now,
@@ -254,7 +254,7 @@
   const VmStatus& status = vm.status;
   if (!(status.capacity - vm.used).Holds(need)) return false;
   if (!vm.linked || !vm.has_inventory || !vm.leased || status.draining ||
-      status.life.empty() ||
+      status.incarnation.empty() ||
       status.service != job.progress.workflow().service) {
     return false;
   }
@@ -280,7 +280,7 @@
   if (!Fits(vm, name, job, step, now)) return false;
   const Workflow& workflow = job.progress.workflow();
   if (workflow.policy.needs_advice &&
-      TicketFor(job, open, vm.status.life, now) == nullptr) {
+      TicketFor(job, open, vm.status.incarnation, now) == nullptr) {
     return false;
   }
   return step.max_per_vm == 0 ||
@@ -393,7 +393,7 @@
       starts_[{name, TaskRef{ref.workflow, ref.round, ref.step, 0}}];
   if (starts.runs.empty()) {
     starts.epoch = options_.epoch;
-    starts.life = vm.status.life;
+    starts.incarnation = vm.status.incarnation;
     starts.workflow = ref.workflow;
     starts.round = ref.round;
     starts.step = ref.step;
@@ -403,7 +403,7 @@
     starts.report_begin = !job.progress.begun();
   }
   const Ticket* ticket =
-      TicketFor(job, {ref.round, ref.step}, vm.status.life, now);
+      TicketFor(job, {ref.round, ref.step}, vm.status.incarnation, now);
   starts.runs.push_back(
       {ref.index, run, checkpoint, ticket == nullptr ? "" : ticket->text});
   run_log_.Note("run_ordered", {ref, run}, name,
--- a/beamhill/dispatch/dispatch_placement_test.cc
+++ b/beamhill/dispatch/dispatch_placement_test.cc
@@ -136,7 +136,7 @@
   EXPECT_THAT(Tick().starts, IsEmpty());
   const auto requests = dispatcher_->TakeAdviceRequests();
   ASSERT_THAT(requests, SizeIs(1));
-  EXPECT_THAT(requests[0].lives,
+  EXPECT_THAT(requests[0].incarnations,
               ElementsAre("vm-1-incarnation-1", "vm-2-incarnation-1"));
   dispatcher_->OnAdvice(requests[0].step, Advice{{{"vm-2-incarnation-1", "t"}}},
                         now_);
@@ -181,7 +181,7 @@
     double rank = -1;
     for (const VmMessage& out : dispatcher_->TakeMessages()) {
       const auto* starts = std::get_if<StartRuns>(&out.message);
-      if (starts != nullptr) rank = starts->traits.yield_order;
+      if (starts != nullptr) rank = starts->traits.best_effort_rank;
     }
     return rank;
   }
--- a/beamhill/dispatch/dispatch_runs.cc
+++ b/beamhill/dispatch/dispatch_runs.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "beamhill/dispatch/dispatcher.h"
-#include "beamhill/dispatch/life_name.h"
+#include "beamhill/dispatch/incarnation_name.h"
 
 namespace beamhill {
 namespace {
@@ -101,7 +101,7 @@
   // A VM without an inventory may still obey. Otherwise its inventory makes the
   // stops due again.
   if (!vm.linked || authority_ == Authority::kNone) return;
-  StopRuns stops{options_.epoch, vm.status.life, {}};
+  StopRuns stops{options_.epoch, vm.status.incarnation, {}};
   for (const DueStop& stop : vm.stops.TakeDue(now)) {
     stops.runs.push_back(stop.run);
     if (!stop.repeated) continue;
@@ -187,14 +187,14 @@
 
 void Dispatcher::ApplyInventoryStatus(const std::string& name, Vm& vm,
                                       const VmStatus& status, TimePoint now) {
-  if (status.life != vm.status.life) {
+  if (status.incarnation != vm.status.incarnation) {
     // The runs of an earlier incarnation are gone. If it can't be told whether
     // the incarnation is new, StopMissing() stops what the inventory doesn't
     // list.
-    if (!MayBeSameLife(status.life, vm.status.life)) {
-      MarkAllLapsed(name, vm,
-                    status.life.empty() ? "runner gone" : "runner replaced",
-                    now);
+    if (!MayBeSameIncarnation(status.incarnation, vm.status.incarnation)) {
+      MarkAllLapsed(
+          name, vm,
+          status.incarnation.empty() ? "runner gone" : "runner replaced", now);
     }
     vm.trial.reset();
     vm.not_before = TimePoint{};
@@ -232,11 +232,11 @@
   }
   state.unknown_inventories = 0;
   state.sent_weights.clear();  // The executor may be a new process.
-  for (const PastLife& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_incarnations) {
     ApplyPastIncarnationEnds(vm, state, past, now);
   }
   ApplyInventoryStatus(vm, state, inventory.status, now);
-  for (const PastLife& past : inventory.past_lives) {
+  for (const PastIncarnation& past : inventory.past_incarnations) {
     if (!past.announced) RecordLostRunner(vm, state, past, now);
   }
   state.has_inventory = true;
@@ -263,7 +263,7 @@
 }
 
 void Dispatcher::SendTraits(const std::string& name, const Vm& vm) {
-  RunTraitsList list{options_.epoch, vm.status.life, {}};
+  RunTraitsList list{options_.epoch, vm.status.incarnation, {}};
   for (const auto& [run, held] : vm.held) {
     const Job* job = Find(run.task.workflow);
     if (job == nullptr) continue;
@@ -329,7 +329,8 @@
 // Skips kinds of ends other than done and failed: their checkpoints may be
 // older than the latest known one.
 void Dispatcher::ApplyPastIncarnationEnds(const std::string& name, Vm& vm,
-                                          const PastLife& past, TimePoint now) {
+                                          const PastIncarnation& past,
+                                          TimePoint now) {
   for (const RunEnd& end : past.ended) {
     if (end.kind != RunEndKind::kDone && end.kind != RunEndKind::kFailed) {
       continue;
@@ -393,7 +394,7 @@
                            TimePoint now) {
   Vm& state = vms_[vm];
   if (reports.epoch != options_.epoch || !state.has_inventory ||
-      reports.life != state.status.life) {
+      reports.incarnation != state.status.incarnation) {
     return;
   }
   for (const RunEnd& end : reports.ended) ApplyListedEnd(vm, state, end, now);
--- a/beamhill/dispatch/dispatch_stops_test.cc
+++ b/beamhill/dispatch/dispatch_stops_test.cc
@@ -92,10 +92,13 @@
 TEST_F(DispatcherStopsTest, StopIsCompleteOnceTheRunIsKnownNeverToBegin) {
   const RunRef run = CancelLongRunningTask();
   TakeSent();
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kStopped}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kStopped}},
+                          {}},
+                         now_);
   EXPECT_EQ(dispatcher_->Summary(now_).stops, 0);
 }
 
--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-std::vector<PressureWeight> Dispatcher::TakeChangedWeights(size_t limit) {
-  std::vector<std::pair<Duration, PressureWeight>> changed;
+std::vector<InterferenceWeight> Dispatcher::TakeChangedWeights(size_t limit) {
+  std::vector<std::pair<Duration, InterferenceWeight>> changed;
   for (const auto& weight : interference_.Weights()) {
     const auto logged =
         logged_weights_.find({weight.serving, weight.best_effort});
@@ -31,10 +31,10 @@
   std::sort(changed.begin(), changed.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
   if (changed.size() > limit) changed.resize(limit);
-  std::vector<PressureWeight> taken;
+  std::vector<InterferenceWeight> taken;
   for (auto& entry : changed) {
-    const PressureWeight& weight = entry.second;
-    logged_weights_[{weight.serving, weight.filling}] = weight.per_vm;
+    const InterferenceWeight& weight = entry.second;
+    logged_weights_[{weight.serving, weight.best_effort_image}] = weight.per_vm;
     taken.push_back(weight);
   }
   return taken;
@@ -51,9 +51,9 @@
     summary.capacity += vm.status.capacity;
     summary.used += vm.used;
     summary.serving_cpu += vm.serving_cpu;
-    summary.filling_cpu += vm.best_effort_cpu;
+    summary.best_effort_cpu += vm.best_effort_cpu;
     // The last report may still count tasks that are gone.
-    summary.filling_cpu_in_use +=
+    summary.best_effort_cpu_in_use +=
         std::min(vm.best_effort_cpu_in_use, vm.best_effort_cpu);
     summary.held_runs += vm.held.size();
   }
@@ -94,7 +94,7 @@
     out << "evacuated hall " << hall << "\n";
   }
   for (const auto& [name, vm] : vms_) {
-    out << "vm " << name << " life " << vm.status.life << " answered "
+    out << "vm " << name << " life " << vm.status.incarnation << " answered "
         << vm.has_inventory << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
         << vm.status.capacity.cpu_millis << " best_effort "
--- a/beamhill/dispatch/dispatcher.cc
+++ b/beamhill/dispatch/dispatcher.cc
@@ -234,7 +234,7 @@
 void Dispatcher::OnStatus(const std::string& vm, const VmStatus& status,
                           TimePoint now) {
   Vm& state = vms_[vm];
-  if (status.life != state.status.life) {
+  if (status.incarnation != state.status.incarnation) {
     // The runs of the earlier incarnation are gone or will be in the next
     // inventory.
     state.has_inventory = false;
--- a/beamhill/dispatch/dispatcher.h
+++ b/beamhill/dispatch/dispatcher.h
@@ -37,13 +37,13 @@
 #include <vector>
 
 #include "beamhill/base/time.h"
+#include "beamhill/dispatch/best_effort_rank.h"
 #include "beamhill/dispatch/dispatch_messages.h"
 #include "beamhill/dispatch/dispatch_types.h"
-#include "beamhill/dispatch/filler_load.h"
 #include "beamhill/dispatch/internal/dispatch_state.h"
+#include "beamhill/dispatch/pace_policy_selector.h"
 #include "beamhill/dispatch/run_log.h"
-#include "beamhill/dispatch/run_times.h"
-#include "beamhill/dispatch/yield_order.h"
+#include "beamhill/dispatch/run_time_estimator.h"
 #include "beamhill/placement/pairwise_interference.h"
 #include "beamhill/placement/serving_layout.h"
 #include "beamhill/placement/worker_health.h"
@@ -93,7 +93,7 @@
   bool OnInventory(const std::string& vm, const VmInventory& inventory,
                    TimePoint now);
   // Adds the VM's measurements to the interference model.
-  void OnInterference(const std::string& vm, const VmPressure& report);
+  void OnInterference(const std::string& vm, const VmInterference& report);
   void OnReports(const std::string& vm, const RunReports& reports,
                  TimePoint now);
 
@@ -117,8 +117,8 @@
   void SetAuthority(Authority authority, TimePoint now);
 
   // Exports the learned interference for storage; imports an earlier owner's.
-  PressureRecord LearnedInterference() const;
-  void RestoreInterference(const PressureRecord& record);
+  InterferenceRecord LearnedInterference() const;
+  void RestoreInterference(const InterferenceRecord& record);
 
   // Sends VMs the interference weights of the images they hold, where those
   // differ from what was sent before.
@@ -126,7 +126,7 @@
 
   // Takes up to `limit` image pairs whose weight has changed since the last
   // call, the largest changes first, for the log.
-  std::vector<PressureWeight> TakeChangedWeights(size_t limit);
+  std::vector<InterferenceWeight> TakeChangedWeights(size_t limit);
 
   // Expires leases, starts tasks and sends due stops. Log lines about runs
   // reach the hook a few times per second.
@@ -234,7 +234,7 @@
   // Applies ends listed by an earlier runner incarnation, before the remaining
   // runs of it lapse. Applying an end twice has no effect.
   void ApplyPastIncarnationEnds(const std::string& name, Vm& vm,
-                                const PastLife& past, TimePoint now);
+                                const PastIncarnation& past, TimePoint now);
   // Returns whether stored progress has changed.
   bool RecordEnd(Vm& vm, const RunEnd& end, TimePoint now);
   void ApplyNotBegun(const std::string& name, Vm& vm,
@@ -270,7 +270,7 @@
   // Cores requested by waiting best-effort tasks.
   double WaitingBestEffortCores(UnixMillis unix_now) const;
   // Known weights of all pairs of serving and best-effort images on the VM.
-  std::vector<PressureWeight> WeightsOn(const Vm& vm) const;
+  std::vector<InterferenceWeight> WeightsOn(const Vm& vm) const;
   void SendWeightsTo(const std::string& name, Vm& vm);
 
   // In dispatch_best_effort.cc.
@@ -360,8 +360,8 @@
   // In dispatch_crashes.cc.
   // Suspects the tasks that had just begun when the runner was lost, and clears
   // the others that ran there.
-  void RecordLostRunner(const std::string& name, Vm& vm, const PastLife& lost,
-                        TimePoint now);
+  void RecordLostRunner(const std::string& name, Vm& vm,
+                        const PastIncarnation& lost, TimePoint now);
   // Suspects what had just begun when the runner fell silent although the VM's
   // executor is still reachable.
   void SuspectSilentRunner(const std::string& name, const Vm& vm,
@@ -469,8 +469,8 @@
   std::set<TaskRef> suspects_;
   TimePoint suspects_cleared_at_{};
   WorkerHealth health_;
-  RunTimes run_times_;
-  FillerLoad best_effort_load_;
+  RunTimeEstimator run_times_;
+  PacePolicySelector best_effort_load_;
   PairwiseInterference interference_;
   uint64_t interference_version_ = 1;
   // As last logged, by serving and best-effort image.
--- a/beamhill/dispatch/dispatcher_benchmark.cc
+++ b/beamhill/dispatch/dispatcher_benchmark.cc
@@ -54,15 +54,15 @@
   return workflow;
 }
 
-VmPressure InterferenceReportOf(int64_t vm) {
-  VmPressure pressure;
+VmInterference InterferenceReportOf(int64_t vm) {
+  VmInterference pressure;
   pressure.epoch = 1;
   pressure.serving.push_back(
       {NameOf("service-", vm % kServingImages), std::chrono::milliseconds(10)});
   pressure.serving.push_back({NameOf("service-", (vm + 1) % kServingImages),
                               std::chrono::milliseconds(12)});
   for (int64_t i = 0; i < 3; ++i) {
-    pressure.filling.push_back(
+    pressure.best_effort_loads.push_back(
         {NameOf("batch-", (vm + i) % kBestEffortImages), 1500, 100});
   }
   return pressure;
@@ -75,7 +75,7 @@
   for (int64_t i = 0; i < vms; ++i) {
     const std::string vm = NameOf("vm-", i);
     VmStatus status;
-    status.life = vm + "-incarnation";
+    status.incarnation = vm + "-incarnation";
     status.service = "web";
     status.capacity = kVmCapacity;
     dispatcher->OnLinkUp(vm);
@@ -139,7 +139,7 @@
     for (const VmMessage& out : dispatcher->TakeMessages()) {
       const auto* starts = std::get_if<StartRuns>(&out.message);
       if (starts == nullptr) continue;
-      RunReports reports{1, starts->life, {}, {}, {}};
+      RunReports reports{1, starts->incarnation, {}, {}, {}};
       for (const StartRun& run : starts->runs) {
         const TaskRef task{starts->workflow, 0, 0, run.index};
         reports.ended.push_back(
--- a/beamhill/dispatch/dispatcher_test.cc
+++ b/beamhill/dispatch/dispatcher_test.cc
@@ -181,10 +181,13 @@
   ConnectVm("vm-1");
   dispatcher_->AddWorkflow(SingleStepWorkflow("a", 1, 2), std::nullopt, now_);
   const RunRef run = Tick().starts[0].second;
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kUnreachable}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kUnreachable}},
+                          {}},
+                         now_);
   AdvanceTime(milliseconds(250), {"vm-1"});
   EXPECT_THAT(TakeSent().starts, IsEmpty());
   incarnations_["vm-1"] = "vm-1-incarnation-2";
@@ -248,10 +251,13 @@
   ConnectVm("vm-1");
   EXPECT_THAT(TakeSent().stops, ElementsAre(std::pair("vm-1", run)));
   EXPECT_THAT(Tick().starts, IsEmpty());
-  dispatcher_->OnReports(
-      "vm-1",
-      {2, StatusOf("vm-1").life, {}, {{run, NotBegunReason::kStopped}}, {}},
-      now_);
+  dispatcher_->OnReports("vm-1",
+                         {2,
+                          StatusOf("vm-1").incarnation,
+                          {},
+                          {{run, NotBegunReason::kStopped}},
+                          {}},
+                         now_);
   now_ += seconds(1);
   dispatcher_->OnHeartbeat("vm-1", {2, now_}, now_);
   EXPECT_THAT(Tick().starts, SizeIs(1));
--- a/beamhill/dispatch/dispatcher_test_base.h
+++ b/beamhill/dispatch/dispatcher_test_base.h
@@ -62,7 +62,7 @@
 
   VmStatus StatusOf(const std::string& vm) {
     VmStatus status;
-    status.life =
+    status.incarnation =
         incarnations_[vm].empty() ? vm + "-incarnation-1" : incarnations_[vm];
     status.service = "web";
     status.rack = racks_[vm];
@@ -94,7 +94,7 @@
   // running for longer.
   void LoseRunner(const std::string& vm, std::vector<RunRef> just_begun,
                   std::vector<RunRef> others = {}) {
-    const std::string lost = StatusOf(vm).life;
+    const std::string lost = StatusOf(vm).incarnation;
     incarnations_[vm] = lost + "x";
     dispatcher_->OnInventory(
         vm,
@@ -151,7 +151,8 @@
             sent.stops.push_back(stopped);
           }
         }
-      } else if (const auto* end = std::get_if<EndsSettled>(&out.message)) {
+      } else if (const auto* end =
+                     std::get_if<EndsAcknowledged>(&out.message)) {
         sent.acknowledged.push_back({out.vm, end->through});
       }
     }
@@ -168,7 +169,8 @@
   void ReceiveEnd(const std::string& vm, uint64_t number, const RunRef& run,
                   RunEndKind kind) {
     dispatcher_->OnReports(
-        vm, {2, StatusOf(vm).life, {{number, run, kind, ""}}, {}, {}}, now_);
+        vm, {2, StatusOf(vm).incarnation, {{number, run, kind, ""}}, {}, {}},
+        now_);
   }
 
   // Stores what changed; returns whether there was anything to store.
--- a/beamhill/dispatch/internal/dispatch_state.h
+++ b/beamhill/dispatch/internal/dispatch_state.h
@@ -174,7 +174,7 @@
   mutable uint64_t tail_ratios_version = 0;
   // Interference weights last sent to the executor, and whether an image has
   // arrived since for which it may have none.
-  std::vector<PressureWeight> sent_weights;
+  std::vector<InterferenceWeight> sent_weights;
   bool has_new_image = false;
 };
 
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -116,7 +116,7 @@
 
 void Executor::PaceInOrder(std::vector<RunRef> fillers, int64_t free_cpu) {
   const auto key = [this](const RunRef& run) {
-    return std::tie(paced_.at(run).traits.yield_order, run);
+    return std::tie(paced_.at(run).traits.best_effort_rank, run);
   };
   std::sort(fillers.begin(), fillers.end(),
             [&](const RunRef& a, const RunRef& b) { return key(a) < key(b); });
@@ -179,7 +179,7 @@
     it->second.ordered_at = hooks_.now();
     const uint64_t number = ++counts_.paces;
     it->second.last_sent = number;
-    runner_.pace({status_.life, epoch_, run, next->call.percent},
+    runner_.pace({status_.incarnation, epoch_, run, next->call.percent},
                  lifetime_.Guard([this, run, number,
                                   caller = PresentCaller()](RunnerReply reply) {
                    pace_lane_.OnDone();
@@ -213,7 +213,7 @@
   for (const ServingSample& sample : serving) {
     tails[sample.image] = std::max(tails[sample.image], sample.tail);
   }
-  VmPressure pressure;
+  VmInterference pressure;
   pressure.epoch = epoch_;
   for (const auto& [image, tail] : tails) {
     pressure.serving.push_back({image, tail});
@@ -221,7 +221,7 @@
   for (const auto& [image, share] : filling) {
     const double cpu =
         share.used * static_cast<double>(status_.capacity.cpu_millis);
-    pressure.filling.push_back(
+    pressure.best_effort_loads.push_back(
         {image, static_cast<int64_t>(cpu), pacer_.PercentOf(image)});
   }
   calm_told_ = owner_link_ && serving.empty() && filling.empty();
@@ -236,10 +236,10 @@
   pacer_.set_policy(pace_policy_);
 }
 
-void Executor::OnWeights(const PressureWeights& learned) {
+void Executor::OnWeights(const InterferenceWeights& learned) {
   Pacer::Weights weights;
-  for (const PressureWeight& weight : learned.weights) {
-    weights[{weight.serving, weight.filling}] = weight.per_vm;
+  for (const InterferenceWeight& weight : learned.weights) {
+    weights[{weight.serving, weight.best_effort_image}] = weight.per_vm;
   }
   pacer_.SetWeights(std::move(weights));
 }
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -86,7 +86,7 @@
   Register("life-1");
   Attach(1);
   now_ += milliseconds(10);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 1});
   ASSERT_THAT(looks_, SizeIs(2));
   executor_->OnLinkDown(kLink);
   AnswerLastLook({}, {{2, kRun, RunEndKind::kDone, ""}});
@@ -122,7 +122,7 @@
   EXPECT_GE(Sent<RunReports>().size(), 4);
   EXPECT_LE(Sent<RunReports>().size(), 6);
   EXPECT_EQ(Sent<RunReports>().back().ended.size(), 1);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 1});
   sent_.clear();
   list_for(milliseconds(2000));  // The runner is slow to forget it.
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
@@ -154,8 +154,8 @@
 // The owner places no filler of an image where it was last held back.
 TEST_F(ExecutorReportsTest, PressureOfTasksThatAreGoneIsTakenBackOnEachLink) {
   FillBesideASufferingService();
-  ASSERT_THAT(Sent<VmPressure>(), Not(IsEmpty()));
-  EXPECT_LT(Sent<VmPressure>().back().filling[0].percent, 100);
+  ASSERT_THAT(Sent<VmInterference>(), Not(IsEmpty()));
+  EXPECT_LT(Sent<VmInterference>().back().best_effort_loads[0].percent, 100);
   const auto list_nothing_for = [this](Duration time) {
     const TimePoint until = now_ + time;
     while (now_ < until) {
@@ -165,14 +165,14 @@
   };
   sent_.clear();
   list_nothing_for(seconds(2));
-  ASSERT_THAT(Sent<VmPressure>(), SizeIs(1));
-  EXPECT_THAT(Sent<VmPressure>()[0].filling, IsEmpty());
+  ASSERT_THAT(Sent<VmInterference>(), SizeIs(1));
+  EXPECT_THAT(Sent<VmInterference>()[0].best_effort_loads, IsEmpty());
   executor_->OnLinkDown(kLink);
   list_nothing_for(seconds(1));
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
   sent_.clear();
   list_nothing_for(seconds(2));
-  EXPECT_THAT(Sent<VmPressure>(), SizeIs(1));
+  EXPECT_THAT(Sent<VmInterference>(), SizeIs(1));
 }
 
 }  // namespace
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -60,9 +60,9 @@
 
   int last_pace_ = -1;
 
-  void Register(const std::string& life) {
+  void Register(const std::string& incarnation) {
     VmStatus status;
-    status.life = life;
+    status.incarnation = incarnation;
     status.capacity = {8000, 16000, 0};
     executor_->OnRunner(status, RunnerClock(1000));
   }
@@ -90,16 +90,16 @@
   }
 
   void Start(const RunRef& run, uint64_t epoch, Duration tail_target = {},
-             bool best_effort = false, double yield_order = 0) {
+             bool best_effort = false, double best_effort_rank = 0) {
     StartRuns starts;
     starts.epoch = epoch;
-    starts.life = executor_->status().life;
+    starts.incarnation = executor_->status().incarnation;
     starts.workflow = run.task.workflow;
     starts.traits.image = "img";
     starts.traits.best_effort = best_effort;
     starts.traits.tail_target = tail_target;
     starts.traits.cpu_millis = 2000;
-    starts.traits.yield_order = yield_order;
+    starts.traits.best_effort_rank = best_effort_rank;
     starts.runs = {{run.task.index, run.run, "", ""}};
     executor_->OnMessage(kLink, starts);
   }
--- a/beamhill/executor/life_record.cc
+++ b/beamhill/executor/life_record.cc
@@ -25,9 +25,10 @@
   last_view_ = std::move(view);
 }
 
-PastLife LifeRecord::Describe(const std::string& life, bool announced) const {
-  PastLife past;
-  past.life = life;
+PastIncarnation LifeRecord::Describe(const std::string& incarnation,
+                                     bool announced) const {
+  PastIncarnation past;
+  past.incarnation = incarnation;
   past.announced = announced;
   past.ended = last_view_.ended;
   for (const auto& [run, asked_at] : asked_) past.just_begun.push_back(run);
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -101,7 +101,7 @@
 
   static VmStatus Status() {
     VmStatus status;
-    status.life = "life-1";
+    status.incarnation = "life-1";
     status.capacity = {64000, 256000, 0};
     return status;
   }
@@ -155,7 +155,7 @@
     executor_->OnMessage(kLink, Attach{"owner", epoch_});
     executor_->OnMessage(kLink, Renewal());
     executor_->OnMessage(kLink, PacePolicyNotice{epoch_, policy_});
-    PressureWeights wrong{epoch_, {}};
+    InterferenceWeights wrong{epoch_, {}};
     for (int s = 0; s < kServing; ++s) {
       for (int f = 0; f < kFillers; ++f) {
         wrong.weights.push_back(
@@ -177,7 +177,7 @@
     const ReplayTask task = TaskOf(ref);
     StartRuns starts;
     starts.epoch = epoch_;
-    starts.life = "life-1";
+    starts.incarnation = "life-1";
     starts.workflow = workflow;
     starts.traits = {task.image, task.best_effort, task.tail_target,
                      task.cpu_millis, 1};
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -168,7 +168,7 @@
     vm.executor = std::make_unique<Executor>(ExecutorOptions{},
                                              vm.runner->Hooks(), hooks);
     VmStatus status;
-    status.life = name + "-life";
+    status.incarnation = name + "-life";
     status.service = kService;
     status.capacity = load_.vm;
     vm.executor->OnRunner(status, std::chrono::duration_cast<RunnerClock>(
@@ -194,7 +194,7 @@
       Flush();
       return;
     }
-    if (const auto* pressure = std::get_if<VmPressure>(&message)) {
+    if (const auto* pressure = std::get_if<VmInterference>(&message)) {
       Timed("pressure", [&] { owner_->OnInterference(name, *pressure); });
       return;
     }
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -168,7 +168,7 @@
 
 PeerView Scheduler::ViewOf(const Peer& peer) {
   return {BootClock::now() - peer.heartbeat_at, peer.last.store_silence,
-          peer.last.strength};
+          peer.last.host_capacity};
 }
 
 const Scheduler::Peer* Scheduler::FindSuccessor(
@@ -217,9 +217,9 @@
       {{"to", peer->last.name},
        {"store_silence_ms", ToMillis(own.store_silence)},
        {"strength", own.host_capacity},
-       {"peer_strength", peer->last.strength}});
+       {"peer_strength", peer->last.host_capacity}});
   const uint64_t epoch = keeper_->epoch();
-  keeper_->HandOverTo();
+  keeper_->HandOverToPeer();
   OfferHandOver(epoch, max_store_silence);
 }
 
--- a/beamhill/scheduler/scheduler_peers.cc
+++ b/beamhill/scheduler/scheduler_peers.cc
@@ -45,7 +45,7 @@
   beat.epoch = keeper_->owns() ? keeper_->epoch() : 0;
   beat.known_epoch = keeper_->record().epoch;
   beat.store_silence = hooks_.store_silence();
-  beat.strength = settings_.host_capacity;
+  beat.host_capacity = settings_.host_capacity;
   beat.settings_version = hooks_.settings_version();
   beat.evacuations = hooks_.evacuations();
   return beat;
@@ -92,7 +92,8 @@
     hooks_.on_settings_copy(copy->version, copy->document);
   } else if (const auto* new_owner = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(new_owner->record);
-  } else if (const auto* confirmed = std::get_if<NoticeTaken>(&message)) {
+  } else if (const auto* confirmed =
+                 std::get_if<NoticeAcknowledged>(&message)) {
     notices_.erase(confirmed->workflow);
   } else if (const auto* hand_over = std::get_if<HandOver>(&message)) {
     keeper_->OnHandOver(hand_over->epoch);
@@ -142,11 +143,11 @@
   } else if (const auto* stored = std::get_if<WorkflowStored>(&message)) {
     if (!owner_ || !owner_->loaded()) return;  // Its marker will be found.
     owner_->OnWorkflowStored(stored->workflow);
-    send(NoticeTaken{stored->workflow.id});
+    send(NoticeAcknowledged{stored->workflow.id});
   } else if (const auto* cancel = std::get_if<CancelStored>(&message)) {
     if (!owner_ || !owner_->loaded()) return;
     owner_->OnCancelStored(cancel->workflow);
-    send(NoticeTaken{CancelKey(cancel->workflow)});
+    send(NoticeAcknowledged{CancelKey(cancel->workflow)});
   } else if (const auto* announced = std::get_if<OwnerAnnounced>(&message)) {
     keeper_->OnOwnerAnnounced(announced->record);
   } else if (const auto* submit = std::get_if<RelayedSubmit>(&message)) {
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -147,7 +147,7 @@
     dispatcher_->Cancel(StripPrefix(row.key, rows::kCancels), now);
   }
   for (const Row& row : loaded_rows.rows_by_prefix.at(rows::kLearned)) {
-    const auto learned = DecodeRecord<PressureRecord>(row.value);
+    const auto learned = DecodeRecord<InterferenceRecord>(row.value);
     if (IsOk(learned)) dispatcher_->RestoreInterference(ValueOf(learned));
   }
   Log(LogLevel::kInfo, "owner_loaded",
--- a/beamhill/scheduler/work_owner_authority_test.cc
+++ b/beamhill/scheduler/work_owner_authority_test.cc
@@ -48,7 +48,7 @@
   void SendInventory() {
     VmInventory inventory;
     inventory.epoch = epoch_;
-    inventory.status.life = "life";
+    inventory.status.incarnation = "life";
     inventory.status.service = "web";
     inventory.status.capacity = {8000, 16000, 0};
     inventory.running = running_;
@@ -92,7 +92,7 @@
       }
     } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
       stopped_.insert(stops->runs.begin(), stops->runs.end());
-    } else if (const auto* ends = std::get_if<EndsSettled>(&message)) {
+    } else if (const auto* ends = std::get_if<EndsAcknowledged>(&message)) {
       acknowledged_through_ = std::max(acknowledged_through_, ends->through);
     }
   }
--- a/beamhill/scheduler/work_owner_log.cc
+++ b/beamhill/scheduler/work_owner_log.cc
@@ -22,8 +22,8 @@
        {"cpu", summary.capacity.cpu_millis},
        {"cpu_used", summary.used.cpu_millis},
        {"cpu_serving", summary.serving_cpu},
-       {"cpu_filling", summary.filling_cpu},
-       {"cpu_filling_in_use", summary.filling_cpu_in_use},
+       {"cpu_filling", summary.best_effort_cpu},
+       {"cpu_filling_in_use", summary.best_effort_cpu_in_use},
        {"runs", summary.held_runs},
        {"stops", summary.stops},
        {"oldest_stop_ms", ToMillis(summary.oldest_stop)},
@@ -49,12 +49,12 @@
 
 void WorkOwner::LogInterferenceChanges() {
   std::string pairs;
-  for (const PressureWeight& weight :
+  for (const InterferenceWeight& weight :
        dispatcher_->TakeChangedWeights(kPairsPerLine)) {
     const auto millis = static_cast<int64_t>(ToMillis(weight.per_vm));
     if (!pairs.empty()) pairs += " ";
-    pairs +=
-        weight.filling + ">" + weight.serving + ":" + std::to_string(millis);
+    pairs += weight.best_effort_image + ">" + weight.serving + ":" +
+             std::to_string(millis);
   }
   if (pairs.empty()) return;
   Log(LogLevel::kInfo, "pressure_learned",
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -47,7 +47,7 @@
       epoch_ = attach->epoch;
       VmInventory inventory;
       inventory.epoch = attach->epoch;
-      inventory.status.life = name_ + "-life";
+      inventory.status.incarnation = name_ + "-life";
       inventory.running = {{{"unknown-" + name_, 0, 0, 0}, 1}};
       link.Send(EncodeDispatch(inventory));
     };
@@ -94,7 +94,7 @@
       epoch_ = attach->epoch;
       VmInventory inventory;
       inventory.epoch = epoch_;
-      inventory.status.life = "life";
+      inventory.status.incarnation = "life";
       inventory.status.capacity = {1000000, 1000000, 0};
       for (uint32_t i = 0; i < tasks_; ++i) inventory.running.push_back(Run(i));
       link.Send(EncodeDispatch(inventory));
@@ -107,7 +107,7 @@
     if (link_ == nullptr || ended_count_ == tasks_) return;
     RunReports reports;
     reports.epoch = epoch_;
-    reports.life = "life";
+    reports.incarnation = "life";
     reports.ended = {
         {ended_count_ + 1, Run(ended_count_), RunEndKind::kDone, ""}};
     ++ended_count_;
@@ -129,8 +129,9 @@
 TEST_F(WorkOwnerTest, StartOrderExpiresInTimeForACancellationFoundByScan) {
   constexpr Duration kAllowed = seconds(3);
   constexpr Duration kReadAndSend = milliseconds(300);
-  EXPECT_LE(WorkOwnerOptions{}.marker_scan_interval + kReadAndSend + kOrderLife,
-            kAllowed);
+  EXPECT_LE(
+      WorkOwnerOptions{}.marker_scan_interval + kReadAndSend + kStartOrderTtl,
+      kAllowed);
 }
 
 // Guards against one retry timer shared by all VMs with unknown work: the
