--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -78,7 +78,7 @@
   const bool slow = wait > milliseconds(0);
   if (slow) slow_look_open_ = true;
   const TimePoint sent_at = hooks_.now();
-  RunnerLook call{status_.life, epoch_, settled_, LeaseEndForRunner(), wait};
+  RunnerPoll call{status_.life, epoch_, settled_, LeaseEndForRunner(), wait};
   runner_.look(std::move(call),
                lifetime_.Guard([this, sent_at, slow, epoch = epoch_,
                                 life = status_.life](RunnerView view) {
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -42,7 +42,7 @@
     runner.pace = [this](RunnerPace call, auto done) {
       paces_.push_back({std::move(call), done});
     };
-    runner.look = [this](RunnerLook call, auto done) {
+    runner.look = [this](RunnerPoll call, auto done) {
       looks_.push_back({std::move(call), done});
     };
     ExecutorHooks hooks;
@@ -150,8 +150,8 @@
   std::deque<std::pair<RunnerStart, std::function<void(RunnerReply)>>> starts_;
   std::deque<std::pair<RunnerStop, std::function<void(RunnerReply)>>> stops_;
   std::deque<std::pair<RunnerPace, std::function<void(RunnerReply)>>> paces_;
-  std::deque<std::pair<RunnerLook, std::function<void(RunnerView)>>> looks_;
-  RunnerLook last_look_;
+  std::deque<std::pair<RunnerPoll, std::function<void(RunnerView)>>> looks_;
+  RunnerPoll last_look_;
   std::vector<std::pair<uint64_t, DispatchMessage>> sent_;
   std::map<std::string, std::vector<std::string>> logged_;  // By event.
 };
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -62,7 +62,7 @@
   int percent = 100;  // Share of its time that the task may work.
 };
 
-struct RunnerLook {
+struct RunnerPoll {
   std::string life;
   uint64_t epoch = 0;
   uint64_t settled_through = 0;  // Ends up to here may be forgotten.
@@ -98,7 +98,7 @@
   std::function<void(RunnerStart, std::function<void(RunnerReply)>)> start;
   std::function<void(RunnerStop, std::function<void(RunnerReply)>)> stop;
   std::function<void(RunnerPace, std::function<void(RunnerReply)>)> pace;
-  std::function<void(RunnerLook, std::function<void(RunnerView)>)> look;
+  std::function<void(RunnerPoll, std::function<void(RunnerView)>)> look;
 };
 
 }  // namespace beamhill
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -80,7 +80,7 @@
   hooks.pace = [this](RunnerPace call, auto done) {
     Call(call.life, done, [] { return RunnerVerdict::kDone; });
   };
-  hooks.look = [this](RunnerLook call, auto done) { Look(call, done); };
+  hooks.look = [this](RunnerPoll call, auto done) { Look(call, done); };
   return hooks;
 }
 
@@ -125,7 +125,7 @@
   AnswerLook(look.settled_through, look.done);
 }
 
-void CrashingRunner::Look(const RunnerLook& call,
+void CrashingRunner::Look(const RunnerPoll& call,
                           const std::function<void(RunnerView)>& done) {
   if (!up_ || call.life != LifeName()) {
     RunnerView view;
--- a/beamhill/replay/crashing_runner.h
+++ b/beamhill/replay/crashing_runner.h
@@ -76,7 +76,7 @@
   RunnerVerdict Start(const RunRef& run);
   RunnerVerdict Stop(const RunRef& run);
   void End(const RunRef& run, RunEndKind kind);
-  void Look(const RunnerLook& call,
+  void Look(const RunnerPoll& call,
             const std::function<void(RunnerView)>& done);
   void AnswerLook(uint64_t settled_through,
                   const std::function<void(RunnerView)>& done);
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -123,7 +123,7 @@
   TaskRunner FaultyHooks() {
     TaskRunner sound = runner_->Hooks();
     TaskRunner faulty = sound;
-    faulty.look = [this, sound](const RunnerLook& call, auto done) {
+    faulty.look = [this, sound](const RunnerPoll& call, auto done) {
       sound.look(call, [this, done](RunnerView view) {
         for (RunningRun& run : view.running) {
           if (!Serves(run.run)) continue;
--- a/beamhill/replay/leased_runner.cc
+++ b/beamhill/replay/leased_runner.cc
@@ -44,7 +44,7 @@
   hooks.pace = [this](const RunnerPace&, auto done) {
     time_.After(kCallTime, [this, done] { done(Reply(RunnerVerdict::kDone)); });
   };
-  hooks.look = [this](const RunnerLook& call, auto done) {
+  hooks.look = [this](const RunnerPoll& call, auto done) {
     time_.After(kCallTime, [this, call, done] { Look(call, done); });
   };
   return hooks;
@@ -73,7 +73,7 @@
   return RunnerVerdict::kDone;
 }
 
-void LeasedRunner::Look(const RunnerLook& call,
+void LeasedRunner::Look(const RunnerPoll& call,
                         const std::function<void(RunnerView)>& done) {
   if (!Accepts(call.epoch)) {
     RunnerView view;
--- a/beamhill/replay/leased_runner.h
+++ b/beamhill/replay/leased_runner.h
@@ -55,7 +55,7 @@
   void Extend(RunnerClock lease_end);
   RunnerVerdict Start(const RunnerStart& call);
   RunnerVerdict Stop(const RunnerStop& call);
-  void Look(const RunnerLook& call,
+  void Look(const RunnerPoll& call,
             const std::function<void(RunnerView)>& done);
   RunnerView View(uint64_t settled_through);
   void End(const RunRef& run, RunEndKind kind);
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -39,7 +39,7 @@
       done(Done());
     });
   };
-  hooks.look = [this](const RunnerLook& call, auto done) {
+  hooks.look = [this](const RunnerPoll& call, auto done) {
     if (call.wait.count() == 0) {
       AnswerLook(call.settled_through, done);
       return;
