--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -219,9 +219,9 @@
   executor_->OnMessage(kLink, EndsSettled{1, "life-1", 4});
   executor_->OnMessage(kLink, EndsSettled{1, "another life", 9});
   AnswerLook();
-  EXPECT_EQ(last_look_.settled_through, 0);  // Sent before it was settled.
+  EXPECT_EQ(last_look_.acknowledged_through, 0);  // Sent before it was settled.
   AnswerLook();
-  EXPECT_EQ(last_look_.settled_through, 4);
+  EXPECT_EQ(last_look_.acknowledged_through, 4);
 }
 
 TEST_F(ExecutorTest, EndIsReportedOnceForEachLink) {
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -65,7 +65,7 @@
 struct RunnerPoll {
   std::string life;
   uint64_t epoch = 0;
-  uint64_t settled_through = 0;  // Ends up to here may be forgotten.
+  uint64_t acknowledged_through = 0;  // Ends up to here may be forgotten.
   std::optional<RunnerClock> lease_end;
   std::chrono::milliseconds wait{};  // For an end, when none is listed.
 };
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -122,7 +122,7 @@
   ended_.push_back({next_end_++, run, kind, ""});
   if (!waiting_) return;
   const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-  AnswerLook(look.settled_through, look.done);
+  AnswerLook(look.acknowledged_through, look.done);
 }
 
 void CrashingRunner::Look(const RunnerPoll& call,
@@ -135,26 +135,26 @@
     return;
   }
   if (call.wait.count() == 0) {
-    AnswerLook(call.settled_through, done);
+    AnswerLook(call.acknowledged_through, done);
     return;
   }
   const uint64_t number = next_look_++;
-  waiting_ = WaitingLook{number, call.settled_through, done};
+  waiting_ = WaitingLook{number, call.acknowledged_through, done};
   time_.After(call.wait, [this, number] {
     if (!waiting_ || waiting_->number != number) return;
     const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-    AnswerLook(look.settled_through, look.done);
+    AnswerLook(look.acknowledged_through, look.done);
   });
 }
 
-void CrashingRunner::AnswerLook(uint64_t settled_through,
+void CrashingRunner::AnswerLook(uint64_t acknowledged_through,
                                 const std::function<void(RunnerView)>& done) {
   const int asked = life_;
-  time_.After(kCallTime, [this, settled_through, done, asked] {
+  time_.After(kCallTime, [this, acknowledged_through, done, asked] {
     RunnerView view;
     if (up_ && life_ == asked) {
       const auto settled = [&](const RunEnd& end) {
-        return end.number <= settled_through;
+        return end.number <= acknowledged_through;
       };
       ended_.erase(std::remove_if(ended_.begin(), ended_.end(), settled),
                    ended_.end());
--- a/beamhill/replay/crashing_runner.h
+++ b/beamhill/replay/crashing_runner.h
@@ -63,7 +63,7 @@
  private:
   struct WaitingLook {
     uint64_t number = 0;
-    uint64_t settled_through = 0;
+    uint64_t acknowledged_through = 0;
     std::function<void(RunnerView)> done;
   };
 
@@ -78,7 +78,7 @@
   void End(const RunRef& run, RunEndKind kind);
   void Look(const RunnerPoll& call,
             const std::function<void(RunnerView)>& done);
-  void AnswerLook(uint64_t settled_through,
+  void AnswerLook(uint64_t acknowledged_through,
                   const std::function<void(RunnerView)>& done);
 
   VirtualTime& time_;
--- a/beamhill/replay/leased_runner.cc
+++ b/beamhill/replay/leased_runner.cc
@@ -82,24 +82,24 @@
     return;
   }
   if (call.lease_end) Extend(*call.lease_end);
-  RunnerView view = View(call.settled_through);
+  RunnerView view = View(call.acknowledged_through);
   if (call.wait.count() == 0 || !view.ended.empty()) {
     done(view);
     return;
   }
   const uint64_t number = next_look_++;
-  waiting_ = WaitingLook{number, call.settled_through, done};
+  waiting_ = WaitingLook{number, call.acknowledged_through, done};
   time_.After(call.wait, [this, number] {
     if (!waiting_ || waiting_->number != number) return;
     const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-    look.done(View(look.settled_through));
+    look.done(View(look.acknowledged_through));
   });
 }
 
-RunnerView LeasedRunner::View(uint64_t settled_through) {
+RunnerView LeasedRunner::View(uint64_t acknowledged_through) {
   ended_.erase(std::remove_if(ended_.begin(), ended_.end(),
                               [&](const RunEnd& end) {
-                                return end.number <= settled_through;
+                                return end.number <= acknowledged_through;
                               }),
                ended_.end());
   RunnerView view;
@@ -118,7 +118,7 @@
   if (!waiting_) return;
   const WaitingLook look = *std::exchange(waiting_, std::nullopt);
   time_.After(kCallTime,
-              [this, look] { look.done(View(look.settled_through)); });
+              [this, look] { look.done(View(look.acknowledged_through)); });
 }
 
 void LeasedRunner::Tick() {
--- a/beamhill/replay/leased_runner.h
+++ b/beamhill/replay/leased_runner.h
@@ -45,7 +45,7 @@
  private:
   struct WaitingLook {
     uint64_t number = 0;
-    uint64_t settled_through = 0;
+    uint64_t acknowledged_through = 0;
     std::function<void(RunnerView)> done;
   };
 
@@ -57,7 +57,7 @@
   RunnerVerdict Stop(const RunnerStop& call);
   void Look(const RunnerPoll& call,
             const std::function<void(RunnerView)>& done);
-  RunnerView View(uint64_t settled_through);
+  RunnerView View(uint64_t acknowledged_through);
   void End(const RunRef& run, RunEndKind kind);
 
   VirtualTime& time_;
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -41,15 +41,15 @@
   };
   hooks.look = [this](const RunnerPoll& call, auto done) {
     if (call.wait.count() == 0) {
-      AnswerLook(call.settled_through, done);
+      AnswerLook(call.acknowledged_through, done);
       return;
     }
     const uint64_t number = next_look_++;
-    waiting_ = WaitingLook{number, call.settled_through, done};
+    waiting_ = WaitingLook{number, call.acknowledged_through, done};
     time_.After(call.wait, [this, number] {
       if (!waiting_ || waiting_->number != number) return;
       const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-      AnswerLook(look.settled_through, look.done);
+      AnswerLook(look.acknowledged_through, look.done);
     });
   };
   return hooks;
@@ -101,13 +101,14 @@
   ended_.push_back({next_end_++, ref, kind, checkpoint});
   if (!waiting_) return;
   const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-  AnswerLook(look.settled_through, look.done);
+  AnswerLook(look.acknowledged_through, look.done);
 }
 
-void ReplayRunner::AnswerLook(uint64_t settled_through,
+void ReplayRunner::AnswerLook(uint64_t acknowledged_through,
                               const std::function<void(RunnerView)>& done) {
-  time_.After(kCallTime,
-              [this, settled_through, done] { done(View(settled_through)); });
+  time_.After(kCallTime, [this, acknowledged_through, done] {
+    done(View(acknowledged_through));
+  });
 }
 
 int ReplayRunner::PercentDone(const Run& run) {
@@ -116,10 +117,10 @@
   return static_cast<int>(kPercent * run.done_seconds / whole);
 }
 
-RunnerView ReplayRunner::View(uint64_t settled_through) {
+RunnerView ReplayRunner::View(uint64_t acknowledged_through) {
   ended_.erase(std::remove_if(ended_.begin(), ended_.end(),
                               [&](const RunEnd& end) {
-                                return end.number <= settled_through;
+                                return end.number <= acknowledged_through;
                               }),
                ended_.end());
   RunnerView view;
--- a/beamhill/replay/replay_runner.h
+++ b/beamhill/replay/replay_runner.h
@@ -83,8 +83,8 @@
   RunnerReply Stop(const RunRef& run);
   void Pace(const RunnerPace& call);
   static int PercentDone(const Run& run);
-  RunnerView View(uint64_t settled_through);
-  void AnswerLook(uint64_t settled_through,
+  RunnerView View(uint64_t acknowledged_through);
+  void AnswerLook(uint64_t acknowledged_through,
                   const std::function<void(RunnerView)>& done);
   void List(const RunRef& ref, const Run& run, RunEndKind kind);
   // Share of what fillers would use at their pace that the VM has for them.
@@ -101,7 +101,7 @@
   // A look that waits for an end; answered early when one is listed.
   struct WaitingLook {
     uint64_t number = 0;
-    uint64_t settled_through = 0;
+    uint64_t acknowledged_through = 0;
     std::function<void(RunnerView)> done;
   };
   std::optional<WaitingLook> waiting_;
