--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -240,7 +240,7 @@
   if (!leave_asked_at_ || sent_at < *leave_asked_at_) return;
   leave_asked_at_.reset();
   if (verdict == RunnerVerdict::kUnreachable ||
-      verdict == RunnerVerdict::kOtherLife ||
+      verdict == RunnerVerdict::kOtherIncarnation ||
       verdict == RunnerVerdict::kNoAnswer) {
     ForgetLeftRunner();
     return;
--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -104,7 +104,8 @@
     if (view.reply.verdict == RunnerVerdict::kFenced) {
       hooks_.log("fenced", "", "epoch " + std::to_string(epoch));
     }
-    if (view.reply.verdict == RunnerVerdict::kOtherLife) NoteAnotherAnswers();
+    if (view.reply.verdict == RunnerVerdict::kOtherIncarnation)
+      NoteAnotherAnswers();
     return;
   }
   NoteClock(view.reply.clock);
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -245,7 +245,7 @@
   Register("i-1/2");
   Register("i-1/1");
   Attach(1);
-  EndLooks(RunnerVerdict::kOtherLife);
+  EndLooks(RunnerVerdict::kOtherIncarnation);
   Register("i-1/2");
   EXPECT_EQ(executor_->status().life, "i-1/2");
   Register("i-1/2");
@@ -257,7 +257,7 @@
 TEST_F(ExecutorLossesTest, StartThatMeetsAnotherLifeIsGivenBackAtOnce) {
   Register("i-1/1");
   Attach(1);
-  StartAnswered(Run(0), RunnerVerdict::kOtherLife);
+  StartAnswered(Run(0), RunnerVerdict::kOtherIncarnation);
   ASSERT_THAT(Sent<RunReports>(), SizeIs(1));
   EXPECT_EQ(Sent<RunReports>()[0].not_begun[0].reason,
             NotBegunReason::kUnreachable);
@@ -277,7 +277,7 @@
   StartAnswered(Run(0), RunnerVerdict::kDone);
   Pass(seconds(3));
   sent_.clear();
-  StartAnswered(Run(1), RunnerVerdict::kOtherLife);
+  StartAnswered(Run(1), RunnerVerdict::kOtherIncarnation);
   Pass(milliseconds(600));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
   Register("life-2");
--- a/beamhill/executor/executor_orders.cc
+++ b/beamhill/executor/executor_orders.cc
@@ -28,7 +28,7 @@
     case RunnerVerdict::kNotAllowed:
       return NotBegunReason::kNotAllowed;
     case RunnerVerdict::kUnreachable:
-    case RunnerVerdict::kOtherLife:  // Nobody is there who was meant.
+    case RunnerVerdict::kOtherIncarnation:  // Nobody is there who was meant.
       return NotBegunReason::kUnreachable;
     default:
       return NotBegunReason::kUnhealthy;
@@ -44,7 +44,7 @@
 bool Spoke(RunnerVerdict verdict) {
   return verdict != RunnerVerdict::kNoAnswer &&
          verdict != RunnerVerdict::kUnreachable &&
-         verdict != RunnerVerdict::kOtherLife;
+         verdict != RunnerVerdict::kOtherIncarnation;
 }
 
 }  // namespace
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -27,11 +27,11 @@
   kFenced,    // It has seen a later epoch.
   kOutdated,  // The run or the lease end is too old.
   kNoRoom,
-  kNotAllowed,   // The VM may not run this step.
-  kUnhealthy,    // It turned the call away and has done nothing.
-  kUnreachable,  // Nobody took the call; nothing is done.
-  kOtherLife,    // Another life of the runner answers now.
-  kNoAnswer,     // It may have been done, or may yet be done.
+  kNotAllowed,        // The VM may not run this step.
+  kUnhealthy,         // It turned the call away and has done nothing.
+  kUnreachable,       // Nobody took the call; nothing is done.
+  kOtherIncarnation,  // Another life of the runner answers now.
+  kNoAnswer,          // It may have been done, or may yet be done.
 };
 
 struct RunnerReply {
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -62,7 +62,7 @@
     if (!up_ || life_ != asked) {
       done({RunnerVerdict::kNoAnswer, std::nullopt});
     } else if (life != LifeName()) {
-      done(Reply(RunnerVerdict::kOtherLife));
+      done(Reply(RunnerVerdict::kOtherIncarnation));
     } else {
       done(Reply(act()));
     }
@@ -130,7 +130,7 @@
   if (!up_ || call.life != LifeName()) {
     RunnerView view;
     view.reply.verdict =
-        up_ ? RunnerVerdict::kOtherLife : RunnerVerdict::kUnreachable;
+        up_ ? RunnerVerdict::kOtherIncarnation : RunnerVerdict::kUnreachable;
     time_.After(kCallTime, [done, view] { done(view); });
     return;
   }
