--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -45,7 +45,7 @@
   Duration lease_margin = std::chrono::milliseconds(500);
   // For how long a serving task may be over its target through fillers until
   // users count it as harmed.
-  Duration harm_after = kUsualHarmAfter;
+  Duration harm_after = kDefaultHarmAfter;
   // After a runner says that it ends, its tasks may live on for so long. Then
   // it is asked whether it has.
   Duration leave_pause = std::chrono::milliseconds(600);
--- a/beamhill/executor/harm_guard.h
+++ b/beamhill/executor/harm_guard.h
@@ -24,13 +24,13 @@
 namespace beamhill {
 
 // When users count harm, unless the settings say otherwise.
-inline constexpr Duration kUsualHarmAfter = std::chrono::seconds(4);
+inline constexpr Duration kDefaultHarmAfter = std::chrono::seconds(4);
 
 class HarmGuard {
  public:
   // `harm_after`: for how long a task may be over its target until users count
   // it as harmed.
-  explicit HarmGuard(Duration harm_after = kUsualHarmAfter);
+  explicit HarmGuard(Duration harm_after = kDefaultHarmAfter);
 
   // Takes in the newest samples of the VM, and whether some filler is seen at
   // work: orders may be lost, so a rest counts only from when none is.
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -44,7 +44,8 @@
   using FillingShares = std::map<std::string, FillingShare>;  // By image.
 
   // `harm_after`: see HarmGuard.
-  explicit Pacer(Duration harm_after = kUsualHarmAfter) : guard_(harm_after) {}
+  explicit Pacer(Duration harm_after = kDefaultHarmAfter)
+      : guard_(harm_after) {}
 
   void set_policy(PacePolicy policy) { policy_ = policy; }
   // What the owner has learned; replaces what it said before.
