--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -122,8 +122,8 @@
   if (earlier_lives_.size() > kEarlierLives) earlier_lives_.pop_front();
 }
 
-void Executor::OnRunner(const VmStatus& status,
-                        std::optional<RunnerClock> clock) {
+void Executor::OnRunnerRegistered(const VmStatus& status,
+                                  std::optional<RunnerClock> clock) {
   if (IsEarlierLife(status.life) && !another_answers_) {
     hooks_.log("late_registration", "",
                status.life + " was followed by " + status_.life);
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -8,8 +8,8 @@
 // targets by pacing the fillers beside them.
 //
 //   Executor executor(options, runner, hooks);
-//   executor.OnRunner(status, clock);           // the runner's registration
-//   executor.OnMessage(link, message);          // from an owner
+//   executor.OnRunnerRegistered(status, clock);           // the runner's
+//   registration executor.OnMessage(link, message);          // from an owner
 //   executor.Tick();                            // every 100 ms
 #ifndef BEAMHILL_EXECUTOR_EXECUTOR_H_
 #define BEAMHILL_EXECUTOR_EXECUTOR_H_
@@ -84,7 +84,8 @@
   // The runner has registered or renewed its registration. One of an earlier
   // life, which was long on its way, changes nothing; which of two is the
   // earlier one is settled by who answers looks.
-  void OnRunner(const VmStatus& status, std::optional<RunnerClock> clock);
+  void OnRunnerRegistered(const VmStatus& status,
+                          std::optional<RunnerClock> clock);
   // The runner of that life has said that it ends now.
   void OnRunnerLeft(const std::string& life);
 
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -213,7 +213,7 @@
   VmStatus status;
   status.life = "i-1/1";
   status.draining = true;
-  executor_->OnRunner(status, RunnerClock(1000));
+  executor_->OnRunnerRegistered(status, RunnerClock(1000));
   Attach(1);
   sent_.clear();
   executor_->OnRunnerLeft("i-1/1");
--- a/beamhill/executor/executor_process.h
+++ b/beamhill/executor/executor_process.h
@@ -3,7 +3,8 @@
 //
 //   auto process =
 //       ExecutorProcess::Start(loop, settings, table, runner, metrics);
-//   ValueOf(process)->executor().OnRunner(status, clock);  // by the adaptor
+//   ValueOf(process)->executor().OnRunnerRegistered(status, clock);  // by the
+//   adaptor
 #ifndef BEAMHILL_EXECUTOR_EXECUTOR_PROCESS_H_
 #define BEAMHILL_EXECUTOR_EXECUTOR_PROCESS_H_
 
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -114,7 +114,7 @@
   ASSERT_THAT(starts_, SizeIs(open));
   VmStatus leaving = executor_->status();
   leaving.draining = true;
-  executor_->OnRunner(leaving, RunnerClock(1000));
+  executor_->OnRunnerRegistered(leaving, RunnerClock(1000));
   AnswerAll(starts_);
   EXPECT_EQ(executor_->counts().starts, open);
   ASSERT_THAT(Sent<RunReports>(), SizeIs(1));
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -64,7 +64,7 @@
     VmStatus status;
     status.life = life;
     status.capacity = {8000, 16000, 0};
-    executor_->OnRunner(status, RunnerClock(1000));
+    executor_->OnRunnerRegistered(status, RunnerClock(1000));
   }
 
   // The oldest open look is answered with what runs and what has ended.
--- a/beamhill/replay/crash_replay.cc
+++ b/beamhill/replay/crash_replay.cc
@@ -113,9 +113,9 @@
       return truth;
     };
     hooks.on_up = [this, name](const VmStatus& status) {
-      vms_.at(name).executor->OnRunner(status,
-                                       std::chrono::duration_cast<RunnerClock>(
-                                           time_.now().time_since_epoch()));
+      vms_.at(name).executor->OnRunnerRegistered(
+          status, std::chrono::duration_cast<RunnerClock>(
+                      time_.now().time_since_epoch()));
     };
     hooks.on_start = [this](const RunRef& run) {
       Record& record = records_.at(run.task.workflow);
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -45,7 +45,7 @@
                                              Resources{64000, 256000, 0});
     executor_ = std::make_unique<Executor>(ExecutorOptions{}, FaultyHooks(),
                                            HooksOfExecutor());
-    executor_->OnRunner(Status(), RunnerClock(1));
+    executor_->OnRunnerRegistered(Status(), RunnerClock(1));
     TakeOver();
   }
 
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -171,8 +171,9 @@
     status.life = name + "-life";
     status.service = kService;
     status.capacity = load_.vm;
-    vm.executor->OnRunner(status, std::chrono::duration_cast<RunnerClock>(
-                                      time_.now().time_since_epoch()));
+    vm.executor->OnRunnerRegistered(status,
+                                    std::chrono::duration_cast<RunnerClock>(
+                                        time_.now().time_since_epoch()));
     Executor* executor = vm.executor.get();
     Repeat(kExecutorTick, [executor] { executor->Tick(); });
     owner_->OnLinkUp(name);
--- a/beamhill/replay/outage_replay.cc
+++ b/beamhill/replay/outage_replay.cc
@@ -162,8 +162,9 @@
     status.life = name + "-life";
     status.service = "web";
     status.capacity = kSize;
-    vm.executor->OnRunner(status, std::chrono::duration_cast<RunnerClock>(
-                                      time_.now().time_since_epoch()));
+    vm.executor->OnRunnerRegistered(status,
+                                    std::chrono::duration_cast<RunnerClock>(
+                                        time_.now().time_since_epoch()));
   }
 
   void Unlink(const std::string& name) {
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -44,7 +44,7 @@
     hooks.log = [](const std::string&, const std::string&, const std::string&) {
     };
     executor_ = std::make_unique<Executor>(ExecutorOptions{}, runner, hooks);
-    executor_->OnRunner(StatusOf("vm-1"), RunnerClock(1));
+    executor_->OnRunnerRegistered(StatusOf("vm-1"), RunnerClock(1));
   }
 
   static VmStatus StatusOf(const std::string& vm) {
