--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -159,7 +159,7 @@
   if (new_life) LookSoon();
 }
 
-void Executor::OnRunnerLeft(const std::string& life) {
+void Executor::OnRunnerLeaving(const std::string& life) {
   if (life != status_.life) return;
   hooks_.log("runner_left", "", life);
   leaving_since_ = hooks_.now();
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -87,7 +87,7 @@
   void OnRunnerRegistered(const VmStatus& status,
                           std::optional<RunnerClock> clock);
   // The runner of that life has said that it ends now.
-  void OnRunnerLeft(const std::string& life);
+  void OnRunnerLeaving(const std::string& life);
 
   void OnMessage(uint64_t link, const DispatchMessage& message);
   void OnLinkDown(uint64_t link);
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -83,7 +83,7 @@
 TEST_F(ExecutorLossesTest, RunnerThatLeavesAsItSaidIsNotLost) {
   EXPECT_THAT(LossAfter([] {}), HasSubstr("w.0.0.0/1"));
   logged_.clear();
-  EXPECT_EQ(LossAfter([this] { executor_->OnRunnerLeft("life-1"); }), "");
+  EXPECT_EQ(LossAfter([this] { executor_->OnRunnerLeaving("life-1"); }), "");
 }
 
 // An owner that takes over as a runner goes down has not been told by its
@@ -157,7 +157,7 @@
 TEST_F(ExecutorLossesTest, RunnerThatLeftUnownedIsToldToTheNextOwner) {
   RunOneForLong();
   executor_->OnLinkDown(kLink);
-  executor_->OnRunnerLeft("life-1");
+  executor_->OnRunnerLeaving("life-1");
   for (int i = 0; i < 10; ++i) {
     EndLooks(RunnerVerdict::kUnreachable);
     Pass(milliseconds(100));
@@ -201,7 +201,7 @@
   Attach(1);
   StartAnswered(Run(0), RunnerVerdict::kDone);
   sent_.clear();
-  executor_->OnRunnerLeft("i-1/2");
+  executor_->OnRunnerLeaving("i-1/2");
   PassAnswered(seconds(3));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   EXPECT_EQ(executor_->status().life, "i-1/2");
@@ -216,7 +216,7 @@
   executor_->OnRunnerRegistered(status, RunnerClock(1000));
   Attach(1);
   sent_.clear();
-  executor_->OnRunnerLeft("i-1/1");
+  executor_->OnRunnerLeaving("i-1/1");
   PassAnswered(seconds(2));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   for (int i = 0; i < 10; ++i) {
@@ -230,7 +230,7 @@
 TEST_F(ExecutorLossesTest, LeavingRunnerIsAskedAgainForTheNextOwner) {
   Register("i-1/1");
   Attach(1);
-  executor_->OnRunnerLeft("i-1/1");
+  executor_->OnRunnerLeaving("i-1/1");
   Pass(milliseconds(700));
   executor_->OnMessage(kLink, ::beamhill::Attach{"b", 2});
   for (int i = 0; i < 10; ++i) {
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -316,7 +316,7 @@
   Register("life-1");
   Attach(1);
   sent_.clear();
-  executor_->OnRunnerLeft("life-1");
+  executor_->OnRunnerLeaving("life-1");
   Pass(milliseconds(300));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   Pass(milliseconds(400));
--- a/beamhill/replay/leaving_runner_test.cc
+++ b/beamhill/replay/leaving_runner_test.cc
@@ -23,7 +23,7 @@
   executor_->OnLinkDown(1);
   to_owner_.clear();
   AnswerLooks({{1, kRun, RunEndKind::kDone, ""}});
-  executor_->OnRunnerLeft("vm-1-life");
+  executor_->OnRunnerLeaving("vm-1-life");
   TakeOver(2);
   LinkVm2();
   for (int i = 0; i < 60; ++i) {
