--- a/beamhill/executor/executor_looks.cc
+++ b/beamhill/executor/executor_looks.cc
@@ -79,7 +79,7 @@
   if (slow) slow_look_open_ = true;
   const TimePoint sent_at = hooks_.now();
   RunnerPoll call{status_.life, epoch_, settled_, LeaseEndForRunner(), wait};
-  runner_.look(std::move(call),
+  runner_.poll(std::move(call),
                lifetime_.Guard([this, sent_at, slow, epoch = epoch_,
                                 life = status_.life](RunnerView view) {
                  --looks_open_;
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -297,7 +297,7 @@
   now_ += seconds(100);
   ExecutorOptions options;
   TaskRunner silent;
-  silent.look = [](RunnerPoll, auto) {};
+  silent.poll = [](RunnerPoll, auto) {};
   ExecutorHooks hooks;
   hooks.now = [this] { return now_; };
   hooks.send = [this](uint64_t link, const DispatchMessage& message) {
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -42,7 +42,7 @@
     runner.pace = [this](RunnerPace call, auto done) {
       paces_.push_back({std::move(call), done});
     };
-    runner.look = [this](RunnerPoll call, auto done) {
+    runner.poll = [this](RunnerPoll call, auto done) {
       looks_.push_back({std::move(call), done});
     };
     ExecutorHooks hooks;
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -98,7 +98,7 @@
   std::function<void(RunnerStart, std::function<void(RunnerReply)>)> start;
   std::function<void(RunnerStop, std::function<void(RunnerReply)>)> stop;
   std::function<void(RunnerPace, std::function<void(RunnerReply)>)> pace;
-  std::function<void(RunnerPoll, std::function<void(RunnerView)>)> look;
+  std::function<void(RunnerPoll, std::function<void(RunnerView)>)> poll;
 };
 
 }  // namespace beamhill
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -80,7 +80,7 @@
   hooks.pace = [this](RunnerPace call, auto done) {
     Call(call.life, done, [] { return RunnerVerdict::kDone; });
   };
-  hooks.look = [this](RunnerPoll call, auto done) { Look(call, done); };
+  hooks.poll = [this](RunnerPoll call, auto done) { Look(call, done); };
   return hooks;
 }
 
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -123,8 +123,8 @@
   TaskRunner FaultyHooks() {
     TaskRunner sound = runner_->Hooks();
     TaskRunner faulty = sound;
-    faulty.look = [this, sound](const RunnerPoll& call, auto done) {
-      sound.look(call, [this, done](RunnerView view) {
+    faulty.poll = [this, sound](const RunnerPoll& call, auto done) {
+      sound.poll(call, [this, done](RunnerView view) {
         for (RunningRun& run : view.running) {
           if (!Serves(run.run)) continue;
           const double rough = 0.9 + 0.2 * Uniform();
--- a/beamhill/replay/leased_runner.cc
+++ b/beamhill/replay/leased_runner.cc
@@ -44,7 +44,7 @@
   hooks.pace = [this](const RunnerPace&, auto done) {
     time_.After(kCallTime, [this, done] { done(Reply(RunnerVerdict::kDone)); });
   };
-  hooks.look = [this](const RunnerPoll& call, auto done) {
+  hooks.poll = [this](const RunnerPoll& call, auto done) {
     time_.After(kCallTime, [this, call, done] { Look(call, done); });
   };
   return hooks;
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -33,7 +33,7 @@
     };
     runner.stop = [](const RunnerStop&, auto) {};
     runner.pace = [](const RunnerPace&, auto) {};
-    runner.look = [this](const RunnerPoll&, auto done) {
+    runner.poll = [this](const RunnerPoll&, auto done) {
       looks_.push_back(done);
     };
     ExecutorHooks hooks;
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -39,7 +39,7 @@
       done(Done());
     });
   };
-  hooks.look = [this](const RunnerPoll& call, auto done) {
+  hooks.poll = [this](const RunnerPoll& call, auto done) {
     if (call.wait.count() == 0) {
       AnswerLook(call.acknowledged_through, done);
       return;
