--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -40,7 +40,7 @@
 };
 
 struct RunnerStart {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
   std::string payload;
@@ -50,20 +50,20 @@
 };
 
 struct RunnerStop {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
 };
 
 struct RunnerPace {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
   int percent = 100;  // Share of its time that the task may work.
 };
 
 struct RunnerPoll {
-  std::string life;
+  std::string incarnation;
   uint64_t epoch = 0;
   uint64_t acknowledged_through = 0;  // Ends up to here may be forgotten.
   std::optional<RunnerClock> lease_end;
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -72,13 +72,13 @@
 TaskRunner CrashingRunner::Hooks() {
   TaskRunner hooks;
   hooks.start = [this](RunnerStart call, auto done) {
-    Call(call.life, done, [this, run = call.run] { return Start(run); });
+    Call(call.incarnation, done, [this, run = call.run] { return Start(run); });
   };
   hooks.stop = [this](RunnerStop call, auto done) {
-    Call(call.life, done, [this, run = call.run] { return Stop(run); });
+    Call(call.incarnation, done, [this, run = call.run] { return Stop(run); });
   };
   hooks.pace = [this](RunnerPace call, auto done) {
-    Call(call.life, done, [] { return RunnerVerdict::kDone; });
+    Call(call.incarnation, done, [] { return RunnerVerdict::kDone; });
   };
   hooks.poll = [this](RunnerPoll call, auto done) { Look(call, done); };
   return hooks;
@@ -127,7 +127,7 @@
 
 void CrashingRunner::Look(const RunnerPoll& call,
                           const std::function<void(RunnerView)>& done) {
-  if (!up_ || call.life != LifeName()) {
+  if (!up_ || call.incarnation != LifeName()) {
     RunnerView view;
     view.reply.verdict =
         up_ ? RunnerVerdict::kOtherIncarnation : RunnerVerdict::kUnreachable;
