--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -39,7 +39,7 @@
 constexpr Duration kPressureInterval = std::chrono::milliseconds(450);
 
 bool IsSeenAtWork(const RunningRun& filler, int64_t cpu_millis) {
-  return filler.measure * kWholePercent > cpu_millis * kAtWorkPercent;
+  return filler.measurement * kWholePercent > cpu_millis * kAtWorkPercent;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
   for (const RunningRun& running : view.running) {
     const auto it = paced_.find(running.run);
     if (it == paced_.end()) {
-      seen.free_cpu -= running.measure;
+      seen.free_cpu -= running.measurement;
       continue;
     }
     const TaskTraits& traits = it->second.traits;
@@ -69,14 +69,14 @@
       seen.fillers_work =
           seen.fillers_work || IsSeenAtWork(running, traits.cpu_millis);
       Pacer::FillingShare& share = seen.filling[traits.image];
-      share.used += static_cast<double>(running.measure) / whole;
+      share.used += static_cast<double>(running.measurement) / whole;
       share.asked += static_cast<double>(traits.cpu_millis) / whole;
       continue;
     }
     seen.free_cpu -= traits.cpu_millis * kServingUsePercent / kWholePercent;
-    if (running.measure > 0) {
+    if (running.measurement > 0) {
       seen.serving.push_back({traits.image,
-                              std::chrono::milliseconds(running.measure),
+                              std::chrono::milliseconds(running.measurement),
                               traits.tail_target});
     }
   }
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -75,7 +75,7 @@
   int percent = 100;  // Of its work that is done; 100: a lasting task serves.
   // Of the last half second: a serving task's tail latency in milliseconds,
   // or another's processor time in thousandths of a core.
-  int64_t measure = 0;
+  int64_t measurement = 0;
 };
 
 struct RunnerView {
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -128,8 +128,8 @@
         for (RunningRun& run : view.running) {
           if (!Serves(run.run)) continue;
           const double rough = 0.9 + 0.2 * Uniform();
-          run.measure = static_cast<int64_t>(
-              std::lround(rough * static_cast<double>(run.measure)));
+          run.measurement = static_cast<int64_t>(
+              std::lround(rough * static_cast<double>(run.measurement)));
         }
         const auto late = milliseconds(static_cast<int>(200 * Uniform()));
         time_.After(late, [done, view = std::move(view)] { done(view); });
