--- a/beamhill/executor/call_lane.h
+++ b/beamhill/executor/call_queue.h
@@ -9,8 +9,8 @@
 //   while (auto next = lane.TakeNext()) {
 //     Call(next->run, next->call, [&lane] { lane.OnDone(); });
 //   }
-#ifndef BEAMHILL_EXECUTOR_CALL_LANE_H_
-#define BEAMHILL_EXECUTOR_CALL_LANE_H_
+#ifndef BEAMHILL_EXECUTOR_CALL_QUEUE_H_
+#define BEAMHILL_EXECUTOR_CALL_QUEUE_H_
 
 #include <cstddef>
 #include <functional>
@@ -105,4 +105,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_EXECUTOR_CALL_LANE_H_
+#endif  // BEAMHILL_EXECUTOR_CALL_QUEUE_H_
--- a/beamhill/executor/call_lane_test.cc
+++ b/beamhill/executor/call_queue_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/executor/call_lane.h"
+#include "beamhill/executor/call_queue.h"
 
 #include <gtest/gtest.h>
 
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -27,8 +27,8 @@
 #include "beamhill/base/lifetime.h"
 #include "beamhill/base/time.h"
 #include "beamhill/dispatch/dispatch_messages.h"
-#include "beamhill/executor/call_lane.h"
-#include "beamhill/executor/life_record.h"
+#include "beamhill/executor/call_queue.h"
+#include "beamhill/executor/incarnation_record.h"
 #include "beamhill/executor/pacer.h"
 #include "beamhill/executor/task_runner.h"
 
@@ -221,7 +221,7 @@
   // The runner has taken a stop; a look that was sent then shows the run.
   void OnRunsOn(const RunRef& run, Order& order, TimePoint sent_at);
 
-  // In executor_looks.cc.
+  // In executor_polling.cc.
   void OnSettled(const EndsSettled& settled);
   // Asks the runner what it holds; it may wait so long for an end.
   void Look(std::chrono::milliseconds wait);
--- a/beamhill/executor/life_record.cc
+++ b/beamhill/executor/incarnation_record.cc
@@ -1,4 +1,4 @@
-#include "beamhill/executor/life_record.h"
+#include "beamhill/executor/incarnation_record.h"
 
 #include <algorithm>
 #include <cstddef>
--- a/beamhill/executor/life_record.h
+++ b/beamhill/executor/incarnation_record.h
@@ -9,8 +9,8 @@
 //   record.OnAsked(run, now);         // A start is asked of the runner.
 //   record.OnView(view, asked_at);    // The runner has answered a look.
 //   PastLife past = record.Describe("life-1", /*announced=*/false);
-#ifndef BEAMHILL_EXECUTOR_LIFE_RECORD_H_
-#define BEAMHILL_EXECUTOR_LIFE_RECORD_H_
+#ifndef BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
+#define BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 
 #include <map>
 #include <string>
@@ -46,4 +46,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_EXECUTOR_LIFE_RECORD_H_
+#endif  // BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
--- a/beamhill/executor/harm_guard.h
+++ b/beamhill/executor/latency_guard.h
@@ -11,8 +11,8 @@
 //   HarmGuard guard;
 //   guard.Observe(serving, fillers_work, now);
 //   if (guard.resting()) PaceAll(0);
-#ifndef BEAMHILL_EXECUTOR_HARM_GUARD_H_
-#define BEAMHILL_EXECUTOR_HARM_GUARD_H_
+#ifndef BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
+#define BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
 
 #include <map>
 #include <string>
@@ -63,4 +63,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_EXECUTOR_HARM_GUARD_H_
+#endif  // BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
--- a/beamhill/executor/harm_guard_test.cc
+++ b/beamhill/executor/latency_guard_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/executor/harm_guard.h"
+#include "beamhill/executor/latency_guard.h"
 
 #include <gtest/gtest.h>
 
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -23,7 +23,7 @@
 
 #include "beamhill/base/time.h"
 #include "beamhill/dispatch/pacing_messages.h"
-#include "beamhill/executor/harm_guard.h"
+#include "beamhill/executor/latency_guard.h"
 #include "beamhill/executor/serving_sample.h"
 
 namespace beamhill {
