--- a/beamhill/executor/call_queue.h
+++ b/beamhill/executor/call_queue.h
@@ -4,7 +4,7 @@
 // What waits can still be withdrawn, replaced or found to be out of date; what
 // was taken has left, and may take effect whatever becomes of its answer.
 //
-//   CallLane<PendingStart> lane(/*most_open=*/3);
+//   CallQueue<PendingStart> lane(/*max_in_flight=*/3);
 //   lane.Push(run, start, now);
 //   while (auto next = lane.TakeNext()) {
 //     Call(next->run, next->call, [&lane] { lane.OnDone(); });
@@ -27,7 +27,7 @@
 namespace beamhill {
 
 template <typename Call>
-class CallLane {
+class CallQueue {
  public:
   struct Entry {
     RunRef run;
@@ -35,7 +35,7 @@
     Call call;
   };
 
-  explicit CallLane(size_t most_open) : most_open_(most_open) {}
+  explicit CallQueue(size_t max_in_flight) : max_in_flight_(max_in_flight) {}
 
   // Behind all others. A call that waits for the same run is replaced and
   // keeps its turn.
@@ -51,12 +51,12 @@
 
   // The next call that may leave now; it is open until OnDone.
   std::optional<Entry> TakeNext() {
-    if (waiting_.empty() || open_ >= most_open_) return std::nullopt;
-    ++open_;
+    if (waiting_.empty() || in_flight_ >= max_in_flight_) return std::nullopt;
+    ++in_flight_;
     return Remove(waiting_.begin());
   }
   // An open call was answered or given up, or was not made after all.
-  void OnDone() { --open_; }
+  void OnDone() { --in_flight_; }
 
   // Whether a call for the run waited; it does no more.
   bool Withdraw(const RunRef& run) {
@@ -97,8 +97,8 @@
     return entry;
   }
 
-  size_t most_open_;
-  size_t open_ = 0;
+  size_t max_in_flight_;
+  size_t in_flight_ = 0;
   std::list<Entry> waiting_;
   std::map<RunRef, Position> by_run_;
 };
--- a/beamhill/executor/call_queue_test.cc
+++ b/beamhill/executor/call_queue_test.cc
@@ -9,54 +9,54 @@
 
 RunRef RunOf(uint32_t index) { return {{"w", 0, 0, index}, 1}; }
 
-TEST(CallLaneTest, CallsLeaveInTheirOrderAsFarAsThereIsRoom) {
-  CallLane<int> lane(2);
-  for (uint32_t i = 0; i < 4; ++i) lane.Push(RunOf(i), 0, kNow);
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(0));
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(1));
-  EXPECT_FALSE(lane.TakeNext());
-  lane.OnDone();
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(2));
-  EXPECT_EQ(lane.waiting(), 1);
+TEST(CallQueueTest, CallsLeaveInTheirOrderAsFarAsThereIsRoom) {
+  CallQueue<int> queue(2);
+  for (uint32_t i = 0; i < 4; ++i) queue.Push(RunOf(i), 0, kNow);
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(0));
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(1));
+  EXPECT_FALSE(queue.TakeNext());
+  queue.OnDone();
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(2));
+  EXPECT_EQ(queue.waiting(), 1);
 }
 
-TEST(CallLaneTest, LaterCallForARunTakesTheTurnOfTheEarlier) {
-  CallLane<int> lane(9);
-  lane.Push(RunOf(0), 10, kNow);
-  lane.Push(RunOf(1), 20, kNow);
-  lane.Push(RunOf(0), 30, kNow + std::chrono::seconds(1));
-  EXPECT_EQ(lane.OldestWait(kNow + std::chrono::seconds(2)),
+TEST(CallQueueTest, LaterCallForARunTakesTheTurnOfTheEarlier) {
+  CallQueue<int> queue(9);
+  queue.Push(RunOf(0), 10, kNow);
+  queue.Push(RunOf(1), 20, kNow);
+  queue.Push(RunOf(0), 30, kNow + std::chrono::seconds(1));
+  EXPECT_EQ(queue.OldestWait(kNow + std::chrono::seconds(2)),
             std::chrono::seconds(2));
-  EXPECT_EQ(lane.TakeNext()->call, 30);
-  EXPECT_EQ(lane.TakeNext()->call, 20);
-  EXPECT_FALSE(lane.TakeNext());
+  EXPECT_EQ(queue.TakeNext()->call, 30);
+  EXPECT_EQ(queue.TakeNext()->call, 20);
+  EXPECT_FALSE(queue.TakeNext());
 }
 
-TEST(CallLaneTest, WhatIsWithdrawnDoesNotLeave) {
-  CallLane<int> lane(9);
-  for (uint32_t i = 0; i < 4; ++i) lane.Push(RunOf(i), 0, kNow);
-  EXPECT_TRUE(lane.Withdraw(RunOf(1)));
-  EXPECT_FALSE(lane.Withdraw(RunOf(1)));
-  const auto odd = lane.WithdrawIf(
+TEST(CallQueueTest, WhatIsWithdrawnDoesNotLeave) {
+  CallQueue<int> queue(9);
+  for (uint32_t i = 0; i < 4; ++i) queue.Push(RunOf(i), 0, kNow);
+  EXPECT_TRUE(queue.Withdraw(RunOf(1)));
+  EXPECT_FALSE(queue.Withdraw(RunOf(1)));
+  const auto odd = queue.WithdrawIf(
       [](const auto& entry) { return entry.run.task.index % 2 == 1; });
   ASSERT_EQ(odd.size(), 1);
   EXPECT_EQ(odd[0].run, RunOf(3));
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(0));
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(2));
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(0));
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(2));
 }
 
 // What has left may still take effect, so that its place is not free.
-TEST(CallLaneTest, ClearedLaneKeepsItsOpenCalls) {
-  CallLane<int> lane(1);
-  lane.Push(RunOf(0), 0, kNow);
-  lane.Push(RunOf(1), 0, kNow);
-  EXPECT_TRUE(lane.TakeNext());
-  lane.Clear();
-  EXPECT_EQ(lane.waiting(), 0);
-  lane.Push(RunOf(2), 0, kNow);
-  EXPECT_FALSE(lane.TakeNext());
-  lane.OnDone();
-  EXPECT_EQ(lane.TakeNext()->run, RunOf(2));
+TEST(CallQueueTest, ClearedLaneKeepsItsOpenCalls) {
+  CallQueue<int> queue(1);
+  queue.Push(RunOf(0), 0, kNow);
+  queue.Push(RunOf(1), 0, kNow);
+  EXPECT_TRUE(queue.TakeNext());
+  queue.Clear();
+  EXPECT_EQ(queue.waiting(), 0);
+  queue.Push(RunOf(2), 0, kNow);
+  EXPECT_FALSE(queue.TakeNext());
+  queue.OnDone();
+  EXPECT_EQ(queue.TakeNext()->run, RunOf(2));
 }
 
 }  // namespace
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -13,13 +13,13 @@
 
 // Lives that are remembered, to know late registrations of them: these are
 // seconds late, and a runner takes longer to come back.
-constexpr size_t kEarlierLives = 16;
+constexpr size_t kMaxEarlierIncarnations = 16;
 
 // Past lives are told to each owner that attaches for so long: an owner that
 // takes over as a runner goes down must hear what its predecessor would have.
 // Later ones have what was stored.
-constexpr Duration kPastLifeMemory = std::chrono::seconds(30);
-constexpr size_t kMostPastLives = 16;
+constexpr Duration kPastIncarnationRetention = std::chrono::seconds(30);
+constexpr size_t kMaxPastIncarnations = 16;
 
 bool SameStatus(const VmStatus& a, const VmStatus& b) {
   return a.life == b.life && a.service == b.service && a.hall == b.hall &&
@@ -36,9 +36,9 @@
       hooks_(std::move(hooks)),
       started_at_(hooks_.now()),
       owner_heard_at_(started_at_),
-      start_lane_(runner_.limits.starts),
-      stop_lane_(runner_.limits.stops),
-      pace_lane_(runner_.limits.paces),
+      start_queue_(runner_.limits.starts),
+      stop_queue_(runner_.limits.stops),
+      pace_queue_(runner_.limits.paces),
       pacer_(options_.harm_after) {}
 
 void Executor::SendToOwner(const DispatchMessage& message) {
@@ -63,20 +63,23 @@
   return clock_ + std::chrono::duration_cast<RunnerClock>(safe);
 }
 
-void Executor::KeepPastLife() {
+void Executor::RecordPastIncarnation() {
   if (status_.life.empty()) return;
   const TimePoint now = hooks_.now();
-  PastLife past = life_record_.Describe(status_.life, IsLeaving());
-  if (!past_lives_.empty() && past_lives_.back().second.life == past.life) {
+  PastLife past = incarnation_record_.Describe(status_.life, IsLeaving());
+  if (!past_incarnations_.empty() &&
+      past_incarnations_.back().second.life == past.life) {
     // Given up as silent before; it may have answered and begun more since.
-    const bool same = past_lives_.back().second.just_begun == past.just_begun;
-    past_lives_.pop_back();
-    past_lives_.emplace_back(now, past);
+    const bool same =
+        past_incarnations_.back().second.just_begun == past.just_begun;
+    past_incarnations_.pop_back();
+    past_incarnations_.emplace_back(now, past);
     if (same) return;
   } else {
-    past_lives_.emplace_back(now, past);
+    past_incarnations_.emplace_back(now, past);
   }
-  if (past_lives_.size() > kMostPastLives) past_lives_.pop_front();
+  if (past_incarnations_.size() > kMaxPastIncarnations)
+    past_incarnations_.pop_front();
   if (past.announced) return;
   ++counts_.runners_lost;
   const auto silent = static_cast<int64_t>(ToMillis(now - last_answer_));
@@ -85,68 +88,70 @@
                  " ms ago; had just begun: " + RunNames(past.just_begun));
 }
 
-void Executor::ForgetPastLives(TimePoint now) {
-  while (!past_lives_.empty() &&
-         now - past_lives_.front().first > kPastLifeMemory) {
-    past_lives_.pop_front();
+void Executor::ForgetPastIncarnations(TimePoint now) {
+  while (!past_incarnations_.empty() &&
+         now - past_incarnations_.front().first > kPastIncarnationRetention) {
+    past_incarnations_.pop_front();
   }
 }
 
 void Executor::DropOrders() {
   orders_.clear();
-  start_lane_.Clear();
-  stop_lane_.Clear();
+  start_queue_.Clear();
+  stop_queue_.Clear();
 }
 
-void Executor::ResetLife() {
+void Executor::ResetIncarnation() {
   DropOrders();
-  pace_lane_.Clear();
-  life_record_ = LifeRecord();
+  pace_queue_.Clear();
+  incarnation_record_ = IncarnationRecord();
   paced_.clear();
-  settled_ = 0;
-  highest_listed_ = 0;
-  reported_ = 0;
+  acknowledged_through_ = 0;
+  highest_end_listed_ = 0;
+  reported_through_ = 0;
   clock_known_ = false;
   pacer_ = Pacer(options_.harm_after);
   pacer_.set_policy(pace_policy_);
 }
 
-bool Executor::IsEarlierLife(const std::string& life) const {
-  return std::find(earlier_lives_.begin(), earlier_lives_.end(), life) !=
-         earlier_lives_.end();
+bool Executor::IsEarlierIncarnation(const std::string& incarnation) const {
+  return std::find(earlier_incarnations_.begin(), earlier_incarnations_.end(),
+                   incarnation) != earlier_incarnations_.end();
 }
 
-void Executor::NoteEarlierLife(const std::string& life) {
-  if (life.empty()) return;
-  earlier_lives_.push_back(life);
-  if (earlier_lives_.size() > kEarlierLives) earlier_lives_.pop_front();
+void Executor::NoteEarlierIncarnation(const std::string& incarnation) {
+  if (incarnation.empty()) return;
+  earlier_incarnations_.push_back(incarnation);
+  if (earlier_incarnations_.size() > kMaxEarlierIncarnations)
+    earlier_incarnations_.pop_front();
 }
 
 void Executor::OnRunnerRegistered(const VmStatus& status,
                                   std::optional<RunnerClock> clock) {
-  if (IsEarlierLife(status.life) && !another_answers_) {
+  if (IsEarlierIncarnation(status.life) && !other_incarnation_answers_) {
     hooks_.log("late_registration", "",
                status.life + " was followed by " + status_.life);
     return;
   }
-  const bool new_life = status.life != status_.life;
+  const bool new_incarnation = status.life != status_.life;
   const bool changed = !SameStatus(status, status_);
-  if (new_life) {
-    KeepPastLife();
+  if (new_incarnation) {
+    RecordPastIncarnation();
     std::string labels;
     for (const std::string& label : status.labels) labels += " " + label;
     hooks_.log("runner_registered", "",
                status.life + " after " +
                    (status_.life.empty() ? "none" : status_.life) + ", labels" +
                    labels);
-    NoteEarlierLife(status_.life);
-    earlier_lives_.erase(
-        std::remove(earlier_lives_.begin(), earlier_lives_.end(), status.life),
-        earlier_lives_.end());
-    ResetLife();
+    NoteEarlierIncarnation(status_.life);
+    earlier_incarnations_.erase(
+        std::remove(earlier_incarnations_.begin(), earlier_incarnations_.end(),
+                    status.life),
+        earlier_incarnations_.end());
+    ResetIncarnation();
     leaving_since_.reset();
-    leave_asked_at_.reset();
-    another_answers_ = false;
+    leave_polled_at_.reset();
+    other_incarnation_answers_ = false;
     runner_is_gone_ = false;
     inventory_wanted_ = true;
     last_answer_ = hooks_.now();
@@ -156,19 +161,19 @@
   // only makes leases shorter.
   if (!clock_known_) NoteClock(clock);
   if (changed) SendToOwner(status_);
-  if (new_life) LookSoon();
+  if (new_incarnation) PollSoon();
 }
 
-void Executor::OnRunnerLeaving(const std::string& life) {
-  if (life != status_.life) return;
-  hooks_.log("runner_left", "", life);
+void Executor::OnRunnerLeaving(const std::string& incarnation) {
+  if (incarnation != status_.life) return;
+  hooks_.log("runner_left", "", incarnation);
   leaving_since_ = hooks_.now();
 }
 
 bool Executor::IsCurrent(uint64_t link, uint64_t epoch,
-                         const std::string& life) {
+                         const std::string& incarnation) {
   const bool current =
-      epoch == epoch_ && owner_link_ == link && life == status_.life;
+      epoch == epoch_ && owner_link_ == link && incarnation == status_.life;
   if (!current) ++counts_.stale_orders;
   return current;
 }
@@ -183,11 +188,13 @@
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     if (IsCurrent(link, stops->epoch, stops->life)) OnStopRuns(*stops);
   } else if (const auto* settled = std::get_if<EndsSettled>(&message)) {
-    if (IsCurrent(link, settled->epoch, settled->life)) OnSettled(*settled);
+    if (IsCurrent(link, settled->epoch, settled->life))
+      OnEndsAcknowledged(*settled);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
-    if (IsCurrent(link, traits->epoch, traits->life)) OnTraits(*traits);
+    if (IsCurrent(link, traits->epoch, traits->life)) OnRunTraits(*traits);
   } else if (const auto* learned = std::get_if<PressureWeights>(&message)) {
-    if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
+    if (owner_link_ == link && learned->epoch == epoch_)
+      OnInterferenceWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
     if (owner_link_ == link && policy->epoch == epoch_) OnPacePolicy(*policy);
   }
@@ -212,10 +219,10 @@
     epoch_ = attach.epoch;
   }
   owner_link_ = link;
-  reported_ = 0;
-  told_empty_ = false;
+  reported_through_ = 0;
+  empty_inventory_sent_ = false;
   inventory_wanted_ = true;
-  LookSoon();
+  PollSoon();
 }
 
 void Executor::OnLinkDown(uint64_t link) {
@@ -226,23 +233,24 @@
   lease_end_ = std::max(lease_end_, renew.echoed_stamp + renew.term);
 }
 
-void Executor::AskLeavingRunner(TimePoint now) {
-  if (!leaving_since_ || now - *leaving_since_ < options_.leave_pause) return;
+void Executor::PollLeavingRunner(TimePoint now) {
+  if (!leaving_since_ || now - *leaving_since_ < options_.leave_poll_delay)
+    return;
   if (epoch_ == 0) {  // Nobody has asked for anything, and no look can be made.
-    ForgetLeftRunner();
+    ForgetDepartedRunner();
     return;
   }
-  if (leave_asked_at_) return;
-  if (LookSoon()) leave_asked_at_ = now;
+  if (leave_polled_at_) return;
+  if (PollSoon()) leave_polled_at_ = now;
 }
 
-void Executor::OnLeaveAnswered(RunnerVerdict verdict, TimePoint sent_at) {
-  if (!leave_asked_at_ || sent_at < *leave_asked_at_) return;
-  leave_asked_at_.reset();
+void Executor::OnLeavingRunnerPolled(RunnerVerdict verdict, TimePoint sent_at) {
+  if (!leave_polled_at_ || sent_at < *leave_polled_at_) return;
+  leave_polled_at_.reset();
   if (verdict == RunnerVerdict::kUnreachable ||
       verdict == RunnerVerdict::kOtherIncarnation ||
       verdict == RunnerVerdict::kNoAnswer) {
-    ForgetLeftRunner();
+    ForgetDepartedRunner();
     return;
   }
   hooks_.log("runner_stays", "", status_.life + " answers though it has left");
@@ -250,10 +258,10 @@
   if (status_.draining) leaving_since_ = hooks_.now();
 }
 
-void Executor::ForgetLeftRunner() {
-  KeepPastLife();
+void Executor::ForgetDepartedRunner() {
+  RecordPastIncarnation();
   leaving_since_.reset();
-  ResetLife();
+  ResetIncarnation();
   status_ = VmStatus();
   runner_is_gone_ = true;
   // Without a runner there is nothing to look at.
@@ -261,18 +269,18 @@
 }
 
 void Executor::GiveUpSilentRunner(TimePoint now) {
-  if (!owner_link_ || !inventory_wanted_ || told_empty_) return;
-  if (!AllLeasesOver(now)) return;
+  if (!owner_link_ || !inventory_wanted_ || empty_inventory_sent_) return;
+  if (!AllLeasesExpired(now)) return;
   hooks_.log("runner_silent", "",
              status_.life + ": every lease that it was given is over");
-  told_empty_ = true;
-  KeepPastLife();
+  empty_inventory_sent_ = true;
+  RecordPastIncarnation();
   DropOrders();
   SendEmptyInventory();
 }
 
 void Executor::SendHeartbeat(TimePoint now) {
-  const bool reachable = now - last_answer_ < options_.runner_lost_after;
+  const bool reachable = now - last_answer_ < options_.runner_unreachable_after;
   if (!owner_link_ || !reachable) return;
   if (now - last_heartbeat_ < options_.heartbeat_interval) return;
   last_heartbeat_ = now;
@@ -281,14 +289,14 @@
 
 void Executor::Tick() {
   const TimePoint now = hooks_.now();
-  AskLeavingRunner(now);
-  ForgetPastLives(now);
+  PollLeavingRunner(now);
+  ForgetPastIncarnations(now);
   GiveUpSilentRunner(now);
   SendHeartbeat(now);
   DropOutdatedStarts(now);
   RetryStops(now);
   LogOverdueStops(now);
-  LookIfDue(now);
+  PollIfDue(now);
 }
 
 std::string Executor::Dump() const {
@@ -296,11 +304,12 @@
   out << "epoch " << epoch_ << " owned " << owned() << " life " << status_.life
       << " draining " << status_.draining << " lease_ms "
       << ToMillis(lease_end_ - hooks_.now()) << " orders " << orders_.size()
-      << " starts_waiting " << start_lane_.waiting() << " for_ms "
-      << ToMillis(start_lane_.OldestWait(hooks_.now())) << " stops_waiting "
-      << stop_lane_.waiting() << " oldest_stop_ms " << ToMillis(OldestStop())
-      << " paces_waiting " << pace_lane_.waiting() << " paced " << paced_.size()
-      << " settled " << settled_ << " listed " << highest_listed_ << "\n";
+      << " starts_waiting " << start_queue_.waiting() << " for_ms "
+      << ToMillis(start_queue_.OldestWait(hooks_.now())) << " stops_waiting "
+      << stop_queue_.waiting() << " oldest_stop_ms " << ToMillis(OldestStop())
+      << " paces_waiting " << pace_queue_.waiting() << " paced "
+      << paced_.size() << " settled " << acknowledged_through_ << " listed "
+      << highest_end_listed_ << "\n";
   return out.str();
 }
 
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -40,7 +40,7 @@
   Duration max_lease = std::chrono::seconds(6);
   // Without an answer for so long the runner counts as out of reach, and no
   // more leases are asked for.
-  Duration runner_lost_after = std::chrono::milliseconds(1500);
+  Duration runner_unreachable_after = std::chrono::milliseconds(1500);
   // Added to the end of a lease before it is believed to be over.
   Duration lease_margin = std::chrono::milliseconds(500);
   // For how long a serving task may be over its target through fillers until
@@ -48,7 +48,7 @@
   Duration harm_after = kDefaultHarmAfter;
   // After a runner says that it ends, its tasks may live on for so long. Then
   // it is asked whether it has.
-  Duration leave_pause = std::chrono::milliseconds(600);
+  Duration leave_poll_delay = std::chrono::milliseconds(600);
 };
 
 struct ExecutorHooks {
@@ -64,7 +64,7 @@
   uint64_t starts = 0;
   uint64_t refused = 0;
   uint64_t unanswered = 0;
-  uint64_t looks = 0;
+  uint64_t polls = 0;
   uint64_t paces = 0;
   uint64_t stale_orders = 0;
   uint64_t withdrawn = 0;  // Starts that never left, for a stop came first.
@@ -73,7 +73,7 @@
   uint64_t stops = 0;          // Stops asked of the runner.
   uint64_t stops_overdue = 0;  // Ordered stops that took too long.
   // Stops asked once more since the runner took one and the run went on.
-  uint64_t stops_in_vain = 0;
+  uint64_t stops_ineffective = 0;
 };
 
 class Executor {
@@ -87,7 +87,7 @@
   void OnRunnerRegistered(const VmStatus& status,
                           std::optional<RunnerClock> clock);
   // The runner of that life has said that it ends now.
-  void OnRunnerLeaving(const std::string& life);
+  void OnRunnerLeaving(const std::string& incarnation);
 
   void OnMessage(uint64_t link, const DispatchMessage& message);
   void OnLinkDown(uint64_t link);
@@ -104,7 +104,7 @@
   const ExecutorCounts& counts() const { return counts_; }
   const VmStatus& status() const { return status_; }
   // Starts that wait for their turn at the runner.
-  size_t starts_waiting() const { return start_lane_.waiting(); }
+  size_t starts_waiting() const { return start_queue_.waiting(); }
   // For how long the oldest stop that an owner has ordered is not settled; zero
   // without any.
   Duration OldestStop() const;
@@ -120,13 +120,13 @@
   };
   struct Order {
     Phase phase = Phase::kWaiting;
-    TimePoint since{};  // When the phase began; a later look decides.
+    TimePoint phase_began_at{};  // When the phase began; a later look decides.
     // A stop waits for its turn or its answer.
     bool stop_pending = false;
     bool report_begin = false;
     TimePoint retry_at{};
     std::optional<TimePoint> stop_ordered_at;
-    bool overdue = false;  // The stop, and this is logged.
+    bool overdue_logged = false;  // The stop, and this is logged.
   };
   // What is kept of a call while it waits; the rest is added as it leaves.
   struct PendingStart {
@@ -137,52 +137,52 @@
   };
   struct PendingStop {};
   struct PendingPace {
-    int percent = kWholePercent;
+    int percent = kFullPacePercent;
   };
   // For whom a call was made: its answer means nothing to anyone later.
-  struct Caller {
+  struct CallContext {
     uint64_t epoch = 0;
-    std::string life;
+    std::string incarnation;
   };
-  struct Paced {
+  struct PacedRun {
     TaskTraits traits;
     // As last ordered; unknown after an order without an answer, and of a run
     // that an earlier run of this process has paced.
-    int percent = kWholePercent;
+    int percent = kFullPacePercent;
     TimePoint ordered_at{};
-    bool answered = true;    // The last order is.
-    uint64_t last_sent = 0;  // Number of the last order that left.
+    bool answered = true;           // The last order is.
+    uint64_t last_sent_number = 0;  // Number of the last order that left.
   };
 
   void OnAttach(uint64_t link, const Attach& attach);
   void OnRenew(const RenewLease& renew);
   // Whether it comes from the owner that is obeyed, and concerns the runner's
   // present life; counts those that don't.
-  bool IsCurrent(uint64_t link, uint64_t epoch, const std::string& life);
+  bool IsCurrent(uint64_t link, uint64_t epoch, const std::string& incarnation);
   // Whether a later life has registered since.
-  bool IsEarlierLife(const std::string& life) const;
-  void NoteEarlierLife(const std::string& life);
+  bool IsEarlierIncarnation(const std::string& incarnation) const;
+  void NoteEarlierIncarnation(const std::string& incarnation);
   // Whether the runner's last life has said that it leaves.
   bool IsLeaving() const { return leaving_since_ || status_.draining; }
   // The runner's last life is over, or was silent past its leases. Keeps what
   // was seen of it for owners.
-  void KeepPastLife();
-  void ForgetPastLives(TimePoint now);
+  void RecordPastIncarnation();
+  void ForgetPastIncarnations(TimePoint now);
   // Forgets the starts and stops that wait or are open.
   void DropOrders();
   // Forgets all that belongs to one life of the runner.
-  void ResetLife();
+  void ResetIncarnation();
   void NoteClock(const std::optional<RunnerClock>& clock);
   // The end of the granted lease by the runner's clock; nothing without a
   // lease or a reading of that clock.
   std::optional<RunnerClock> LeaseEndForRunner() const;
   void SendToOwner(const DispatchMessage& message);
   // Some time after a runner said that it ends: asks whether it has.
-  void AskLeavingRunner(TimePoint now);
+  void PollLeavingRunner(TimePoint now);
   // What a look shows of that. The word may have been that of an earlier start
   // of the runner, held up on its way.
-  void OnLeaveAnswered(RunnerVerdict verdict, TimePoint sent_at);
-  void ForgetLeftRunner();
+  void OnLeavingRunnerPolled(RunnerVerdict verdict, TimePoint sent_at);
+  void ForgetDepartedRunner();
   // Tells the owner that nothing runs, once every lease is over.
   void GiveUpSilentRunner(TimePoint now);
   void SendHeartbeat(TimePoint now);
@@ -201,80 +201,82 @@
   void OnStartReply(const RunRef& run, TimePoint sent_at,
                     const RunnerReply& reply);
   // The owner may say it any number of times: what is under way goes on.
-  void StopOne(const RunRef& run);
+  void RequestStop(const RunRef& run);
   void QueueStop(const RunRef& run, Order& order);
   void SendStops();
   void RetryStops(TimePoint now);
   void LogOverdueStops(TimePoint now);
   void OnStopReply(const RunRef& run, const RunnerReply& reply);
-  Caller PresentCaller() const { return {epoch_, status_.life}; }
-  bool IsPresent(const Caller& caller) const {
-    return caller.epoch == epoch_ && caller.life == status_.life;
+  CallContext CurrentCallContext() const { return {epoch_, status_.life}; }
+  bool IsCurrentContext(const CallContext& context) const {
+    return context.epoch == epoch_ && context.incarnation == status_.life;
   }
   // The runner has begun the run: tells the owner, if it wants to hear that.
   void OnBegun(const RunRef& run);
   void ReportBegin(const RunRef& run);
   // Tells the owner that the run never begins.
-  void NotBegun(const RunRef& run, NotBegunReason reason);
+  void ReportNotBegun(const RunRef& run, NotBegunReason reason);
   // What a look that was sent after a call shows is what became of the call.
   void ResolveOrders(const RunnerView& view, TimePoint sent_at);
   // The runner has taken a stop; a look that was sent then shows the run.
-  void OnRunsOn(const RunRef& run, Order& order, TimePoint sent_at);
+  void OnRunStillRunning(const RunRef& run, Order& order, TimePoint sent_at);
 
   // In executor_polling.cc.
-  void OnSettled(const EndsSettled& settled);
+  void OnEndsAcknowledged(const EndsSettled& settled);
   // Asks the runner what it holds; it may wait so long for an end.
-  void Look(std::chrono::milliseconds wait);
+  void PollRunner(std::chrono::milliseconds wait);
   // Looks at once, unless too many looks are open; returns whether it does.
-  bool LookSoon();
-  void LookIfDue(TimePoint now);
-  std::chrono::milliseconds NextWait() const;
-  void OnView(RunnerView view, TimePoint sent_at, uint64_t epoch,
-              const std::string& life);
+  bool PollSoon();
+  void PollIfDue(TimePoint now);
+  std::chrono::milliseconds NextPollWait() const;
+  void OnPollReply(RunnerView view, TimePoint sent_at, uint64_t epoch,
+                   const std::string& incarnation);
   // The next registration is that of the life that answers, whichever it is.
-  void NoteAnotherAnswers();
+  void NoteOtherIncarnation();
   void ReportEnds(const RunnerView& view);
   void SendInventory(const RunnerView& view);
   void SendEmptyInventory();
-  void AddPastLives(VmInventory& inventory) const;
+  void AddPastIncarnations(VmInventory& inventory) const;
   // Whether nothing can run on the VM any more, though its runner does not
   // answer: only this process calls it, and every lease that it or an earlier
   // run of it can have given has run out.
-  bool AllLeasesOver(TimePoint now) const;
+  bool AllLeasesExpired(TimePoint now) const;
 
   // In executor_pacing.cc.
-  void OnTraits(const RunTraitsList& list);
-  void OnWeights(const PressureWeights& learned);
+  void OnRunTraits(const RunTraitsList& list);
+  void OnInterferenceWeights(const PressureWeights& learned);
   void OnPacePolicy(const PacePolicyNotice& notice);
-  void Pace(const RunnerView& view, TimePoint sent_at, TimePoint now);
+  void UpdatePaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
   // Finds fillers that work though they were ordered to rest, or the reverse:
   // an order may be lost, or be carried out after a newer one.
-  void NotePaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
+  void CheckPaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
   // What a look shows of the tasks that pacing heeds.
   struct PacingView {
     std::vector<ServingSample> serving;
-    Pacer::FillingShares filling;
-    std::vector<RunRef> fillers;
-    bool fillers_work = false;  // Some filler uses processors.
+    Pacer::BestEffortShares best_effort;
+    std::vector<RunRef> best_effort_runs;
+    bool best_effort_active = false;  // Some filler uses processors.
     // Processor time that is left for fillers.
-    int64_t free_cpu = 0;
+    int64_t free_cpu_millis = 0;
   };
   PacingView ViewForPacing(const RunnerView& view) const;
   // Gives fillers their paces, in their order: each gets what its image may
   // still use of the disturbance that serving tasks bear, and what is left of
   // the processors. The last ones rest rather than slow the first.
-  void PaceInOrder(std::vector<RunRef> fillers, int64_t free_cpu);
+  void AssignPaces(std::vector<RunRef> best_effort_runs,
+                   int64_t free_cpu_millis);
   // Holds a filler that has just begun to the pace that its image has here: it
   // begins at full speed, and the next look is up to a quarter of a second off.
-  void PaceNewFiller(const RunRef& run);
+  void PaceNewBestEffortRun(const RunRef& run);
   void OrderPace(const RunRef& run, int percent);
   void SendPaces();
   // `number` is that of the order, in the order in which they left.
   void OnPaceReply(const RunRef& run, uint64_t number,
                    const RunnerReply& reply);
   // One tail for each serving image, the worst: its tasks on a VM share fate.
-  void ReportPressure(const std::vector<ServingSample>& serving,
-                      const Pacer::FillingShares& filling, TimePoint now);
+  void ReportInterference(const std::vector<ServingSample>& serving,
+                          const Pacer::BestEffortShares& best_effort,
+                          TimePoint now);
 
   ExecutorOptions options_;
   TaskRunner runner_;
@@ -286,7 +288,8 @@
   // A look that was sent earlier may not show what became of some order that
   // is forgotten by now.
   TimePoint inventory_after_{};
-  bool told_empty_ = false;  // In this attachment, for want of an answer.
+  bool empty_inventory_sent_ =
+      false;  // In this attachment, for want of an answer.
   TimePoint started_at_{};
   TimePoint owner_heard_at_{};
   TimePoint lease_end_{};
@@ -294,12 +297,12 @@
 
   VmStatus status_;
   // Lives of the runner that a later one has followed, the newest last.
-  std::deque<std::string> earlier_lives_;
+  std::deque<std::string> earlier_incarnations_;
   // Another life answers at the runner's address than the one that registered
   // last.
-  bool another_answers_ = false;
+  bool other_incarnation_answers_ = false;
   std::optional<TimePoint> leaving_since_;
-  std::optional<TimePoint> leave_asked_at_;
+  std::optional<TimePoint> leave_polled_at_;
   bool runner_is_gone_ = false;
   RunnerClock clock_{};  // The runner's reading at `clock_at_`.
   TimePoint clock_at_{};
@@ -307,24 +310,24 @@
   TimePoint last_answer_{};  // Of the runner, to any call.
 
   std::map<RunRef, Order> orders_;
-  CallLane<PendingStart> start_lane_;
-  CallLane<PendingStop> stop_lane_;
-  CallLane<PendingPace> pace_lane_;
-  LifeRecord life_record_;
+  CallQueue<PendingStart> start_queue_;
+  CallQueue<PendingStop> stop_queue_;
+  CallQueue<PendingPace> pace_queue_;
+  IncarnationRecord incarnation_record_;
   // Lives that ended of late, the newest last, and when each did.
-  std::deque<std::pair<TimePoint, PastLife>> past_lives_;
-  std::map<RunRef, Paced> paced_;
+  std::deque<std::pair<TimePoint, PastLife>> past_incarnations_;
+  std::map<RunRef, PacedRun> paced_;
   Pacer pacer_;
   PacePolicy pace_policy_ = PacePolicy::kCautious;
-  TimePoint pressure_sent_at_{};
-  bool calm_told_ = false;  // On this link: nothing is paced any more.
-  uint64_t settled_ = 0;    // Ends that may be forgotten.
-  uint64_t highest_listed_ = 0;
-  uint64_t reported_ = 0;  // Ends up to here were sent on this link.
+  TimePoint interference_reported_at_{};
+  bool idle_reported_ = false;  // On this link: nothing is paced any more.
+  uint64_t acknowledged_through_ = 0;  // Ends that may be forgotten.
+  uint64_t highest_end_listed_ = 0;
+  uint64_t reported_through_ = 0;  // Ends up to here were sent on this link.
   TimePoint reported_at_{};
-  int looks_open_ = 0;
-  bool slow_look_open_ = false;
-  TimePoint next_look_{};
+  int polls_in_flight_ = 0;
+  bool long_poll_in_flight_ = false;
+  TimePoint next_poll_at_{};
   ExecutorCounts counts_;
   Lifetime lifetime_;
 };
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -28,25 +28,25 @@
     Register("life-1");
     Attach(1);
     StartAnswered(Run(0), RunnerVerdict::kDone);
-    Pass(milliseconds(2500));
-    AnswerLook({{Run(0), 50, 0}});
-    AnswerLook({{Run(0), 50, 0}});
+    AdvanceTime(milliseconds(2500));
+    AnswerPoll({{Run(0), 50, 0}});
+    AnswerPoll({{Run(0), 50, 0}});
   }
 
-  void LoseLooks() { EndLooks(RunnerVerdict::kNoAnswer); }
+  void LosePolls() { AnswerPollsWith(RunnerVerdict::kNoAnswer); }
 
-  void EndLooks(RunnerVerdict verdict) {
+  void AnswerPollsWith(RunnerVerdict verdict) {
     RunnerView view;
     view.reply.verdict = verdict;
-    for (auto& [call, done] : std::exchange(looks_, {})) done(view);
+    for (auto& [call, done] : std::exchange(polls_, {})) done(view);
   }
 
   // The runner answers all looks for so long.
-  void PassAnswered(Duration time) {
+  void AdvanceAnsweringPolls(Duration time) {
     for (Duration passed{}; passed < time; passed += milliseconds(100)) {
-      Pass(milliseconds(100));
-      for (size_t open = looks_.size(); open > 0; --open) {
-        AnswerLook({{Run(0), 50, 0}});
+      AdvanceTime(milliseconds(100));
+      for (size_t open = polls_.size(); open > 0; --open) {
+        AnswerPoll({{Run(0), 50, 0}});
       }
     }
   }
@@ -71,7 +71,7 @@
   StartAnswered(Run(2), RunnerVerdict::kNoAnswer);  // It may have begun.
   StartAnswered(Run(3), RunnerVerdict::kUnreachable);
   StartAnswered(Run(4), RunnerVerdict::kNoRoom);
-  Pass(seconds(3));
+  AdvanceTime(seconds(3));
   Register("life-2");
   ASSERT_THAT(logged_["runner_lost"], SizeIs(1));
   EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("life-1"));
@@ -92,10 +92,10 @@
   RunOneForLong();
   StartAnswered(Run(1), RunnerVerdict::kDone);
   executor_->OnLinkDown(kLink);
-  Pass(seconds(3));
-  LoseLooks();
+  AdvanceTime(seconds(3));
+  LosePolls();
   Register("life-2");
-  LoseLooks();
+  LosePolls();
   sent_.clear();
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
@@ -104,8 +104,8 @@
   EXPECT_EQ(lost.life, "life-1");
   EXPECT_THAT(lost.just_begun, testing::ElementsAre(Run(1)));
   EXPECT_THAT(lost.others, testing::ElementsAre(Run(0)));
-  Pass(seconds(31));
-  LoseLooks();
+  AdvanceTime(seconds(31));
+  LosePolls();
   sent_.clear();
   Attach(3);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
@@ -116,11 +116,11 @@
 TEST_F(ExecutorLossesTest, RunnerThatIsSilentPastItsLeaseIsLost) {
   Register("life-1");
   Attach(1);
-  AnswerLook();
+  AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
-  Pass(seconds(12));
+  AdvanceTime(seconds(12));
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(milliseconds(200));
+  AdvanceTime(milliseconds(200));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(2));
   ASSERT_THAT(Sent<VmInventory>()[1].past_lives, SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[1].past_lives[0].just_begun,
@@ -133,23 +133,23 @@
 TEST_F(ExecutorLossesTest, StopsOfARunnerThatIsSilentPastItsLeaseAreOver) {
   Register("life-1");
   Attach(1);
-  AnswerLook();
+  AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
   executor_->OnMessage(kLink, StopRuns{1, "life-1", {Run(0)}});
   for (int i = 0; i < 120; ++i) {
     for (auto& [call, done] : std::exchange(stops_, {})) {
       done({RunnerVerdict::kUnreachable, std::nullopt});
     }
-    LoseLooks();
-    Pass(milliseconds(100));
+    LosePolls();
+    AdvanceTime(milliseconds(100));
   }
   EXPECT_GE(executor_->OldestStop(), seconds(12));
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(milliseconds(200));
+  AdvanceTime(milliseconds(200));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(2));
   EXPECT_EQ(executor_->OldestStop(), Duration(0));
   const uint64_t stops = executor_->counts().stops;
-  Pass(seconds(3));
+  AdvanceTime(seconds(3));
   EXPECT_EQ(executor_->counts().stops, stops);
 }
 
@@ -159,13 +159,13 @@
   executor_->OnLinkDown(kLink);
   executor_->OnRunnerLeaving("life-1");
   for (int i = 0; i < 10; ++i) {
-    EndLooks(RunnerVerdict::kUnreachable);
-    Pass(milliseconds(100));
+    AnswerPollsWith(RunnerVerdict::kUnreachable);
+    AdvanceTime(milliseconds(100));
   }
   ASSERT_TRUE(executor_->runner_is_gone());
   sent_.clear();
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(seconds(6));  // A lease and its margin.
+  AdvanceTime(seconds(6));  // A lease and its margin.
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
 }
@@ -174,18 +174,18 @@
 TEST_F(ExecutorLossesTest, RunnerThatWasOnlySilentIsLostOnceMore) {
   Register("life-1");
   Attach(1);
-  AnswerLook();
+  AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
-  Pass(seconds(12));
+  AdvanceTime(seconds(12));
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(milliseconds(200));
-  LoseLooks();
+  AdvanceTime(milliseconds(200));
+  LosePolls();
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  AnswerLook();
+  AnswerPoll();
   executor_->OnMessage(kLink, RenewLease{1, now_, seconds(5)});
   StartAnswered(Run(1), RunnerVerdict::kDone);
   Register("life-2");
-  LoseLooks();
+  LosePolls();
   sent_.clear();
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
@@ -202,7 +202,7 @@
   StartAnswered(Run(0), RunnerVerdict::kDone);
   sent_.clear();
   executor_->OnRunnerLeaving("i-1/2");
-  PassAnswered(seconds(3));
+  AdvanceAnsweringPolls(seconds(3));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   EXPECT_EQ(executor_->status().life, "i-1/2");
   StartAnswered(Run(1), RunnerVerdict::kDone);
@@ -217,11 +217,11 @@
   Attach(1);
   sent_.clear();
   executor_->OnRunnerLeaving("i-1/1");
-  PassAnswered(seconds(2));
+  AdvanceAnsweringPolls(seconds(2));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   for (int i = 0; i < 10; ++i) {
-    EndLooks(RunnerVerdict::kUnreachable);
-    Pass(milliseconds(100));
+    AnswerPollsWith(RunnerVerdict::kUnreachable);
+    AdvanceTime(milliseconds(100));
   }
   EXPECT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_TRUE(executor_->runner_is_gone());
@@ -231,11 +231,11 @@
   Register("i-1/1");
   Attach(1);
   executor_->OnRunnerLeaving("i-1/1");
-  Pass(milliseconds(700));
+  AdvanceTime(milliseconds(700));
   executor_->OnMessage(kLink, ::beamhill::Attach{"b", 2});
   for (int i = 0; i < 10; ++i) {
-    EndLooks(RunnerVerdict::kUnreachable);
-    Pass(milliseconds(100));
+    AnswerPollsWith(RunnerVerdict::kUnreachable);
+    AdvanceTime(milliseconds(100));
   }
   EXPECT_TRUE(executor_->runner_is_gone());
 }
@@ -245,7 +245,7 @@
   Register("i-1/2");
   Register("i-1/1");
   Attach(1);
-  EndLooks(RunnerVerdict::kOtherIncarnation);
+  AnswerPollsWith(RunnerVerdict::kOtherIncarnation);
   Register("i-1/2");
   EXPECT_EQ(executor_->status().life, "i-1/2");
   Register("i-1/2");
@@ -275,10 +275,10 @@
   Register("life-1");
   Attach(1);
   StartAnswered(Run(0), RunnerVerdict::kDone);
-  Pass(seconds(3));
+  AdvanceTime(seconds(3));
   sent_.clear();
   StartAnswered(Run(1), RunnerVerdict::kOtherIncarnation);
-  Pass(milliseconds(600));
+  AdvanceTime(milliseconds(600));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
   Register("life-2");
   ASSERT_THAT(logged_["runner_lost"], SizeIs(1));
--- a/beamhill/executor/executor_orders.cc
+++ b/beamhill/executor/executor_orders.cc
@@ -10,14 +10,14 @@
 namespace beamhill {
 namespace {
 
-constexpr Duration kStopRetry = std::chrono::milliseconds(300);
+constexpr Duration kStopRetryInterval = std::chrono::milliseconds(300);
 // A run that a look shows so long after its runner took the stop is stopped
 // again: runners take 0.4 s at most to carry one out.
-constexpr Duration kStopTakesEffect = std::chrono::seconds(1);
+constexpr Duration kStopEffectTimeout = std::chrono::seconds(1);
 // A start that has waited so long for its turn is worth a line.
-constexpr Duration kNotableWait = std::chrono::milliseconds(300);
+constexpr Duration kLoggedStartWait = std::chrono::milliseconds(300);
 
-NotBegunReason ReasonOf(RunnerVerdict verdict) {
+NotBegunReason ReasonForVerdict(RunnerVerdict verdict) {
   switch (verdict) {
     case RunnerVerdict::kFenced:
       return NotBegunReason::kFenced;
@@ -35,13 +35,13 @@
   }
 }
 
-std::string MillisText(Duration time) {
+std::string WholeMillisText(Duration time) {
   return std::to_string(static_cast<int64_t>(ToMillis(time)));
 }
 
 // Whether the runner has spoken, in the life that was meant. An answer of a
 // later one is no sign of it.
-bool Spoke(RunnerVerdict verdict) {
+bool IsFromIntendedIncarnation(RunnerVerdict verdict) {
   return verdict != RunnerVerdict::kNoAnswer &&
          verdict != RunnerVerdict::kUnreachable &&
          verdict != RunnerVerdict::kOtherIncarnation;
@@ -62,25 +62,25 @@
                           const StartRun& start) {
   const TimePoint now = hooks_.now();
   Order& order = orders_[run];
-  order.since = now;
+  order.phase_began_at = now;
   order.report_begin = starts.report_begin;
   if (starts.traits.paced()) paced_[run].traits = starts.traits;
-  start_lane_.Push(
+  start_queue_.Push(
       run,
       {starts.payload, start.checkpoint, start.ticket, starts.latest_start},
       now);
 }
 
 void Executor::SendStarts() {
-  while (const auto next = start_lane_.TakeNext()) {
+  while (const auto next = start_queue_.TakeNext()) {
     const Duration waited = hooks_.now() - next->queued_at;
-    if (waited >= kNotableWait) {
+    if (waited >= kLoggedStartWait) {
       hooks_.log("start_waited", next->run.task.ToString(),
                  "run " + std::to_string(next->run.run) + ": " +
-                     MillisText(waited) + " ms, behind it " +
-                     std::to_string(start_lane_.waiting()));
+                     WholeMillisText(waited) + " ms, behind it " +
+                     std::to_string(start_queue_.waiting()));
     }
-    if (!SendStart(next->run, next->call)) start_lane_.OnDone();
+    if (!SendStart(next->run, next->call)) start_queue_.OnDone();
   }
 }
 
@@ -92,41 +92,42 @@
   const std::optional<RunnerClock> lease_end = LeaseEndForRunner();
   if (!lease_end || now > start.latest_start || IsLeaving()) {
     ++counts_.outdated;
-    NotBegun(run, NotBegunReason::kOutdated);
+    ReportNotBegun(run, NotBegunReason::kOutdated);
     return false;
   }
   ++counts_.starts;
-  life_record_.OnAsked(run, now);
+  incarnation_record_.OnAsked(run, now);
   Order& order = orders_[run];
   order.phase = Phase::kStarting;
-  order.since = now;
+  order.phase_began_at = now;
   RunnerStart call{status_.life,     epoch_,       run,       start.payload,
                    start.checkpoint, start.ticket, *lease_end};
-  runner_.start(std::move(call),
-                lifetime_.Guard([this, run, now,
-                                 caller = PresentCaller()](RunnerReply reply) {
-                  start_lane_.OnDone();
-                  if (IsPresent(caller)) OnStartReply(run, now, reply);
-                  SendStarts();
-                }));
+  runner_.start(
+      std::move(call),
+      lifetime_.Guard(
+          [this, run, now, context = CurrentCallContext()](RunnerReply reply) {
+            start_queue_.OnDone();
+            if (IsCurrentContext(context)) OnStartReply(run, now, reply);
+            SendStarts();
+          }));
   return true;
 }
 
 void Executor::DropOutdatedStarts(TimePoint now) {
-  const auto late = start_lane_.WithdrawIf(
+  const auto late = start_queue_.WithdrawIf(
       [now](const auto& entry) { return now > entry.call.latest_start; });
   counts_.outdated += late.size();
   for (const auto& entry : late) {
-    NotBegun(entry.run, NotBegunReason::kOutdated);
+    ReportNotBegun(entry.run, NotBegunReason::kOutdated);
   }
 }
 
 void Executor::OnStartReply(const RunRef& run, TimePoint sent_at,
                             const RunnerReply& reply) {
-  if (Spoke(reply.verdict)) {
+  if (IsFromIntendedIncarnation(reply.verdict)) {
     NoteClock(reply.clock);
     last_answer_ = hooks_.now();
-    life_record_.OnAnswered(sent_at);
+    incarnation_record_.OnAnswered(sent_at);
   }
   const auto it = orders_.find(run);
   // A stop has overtaken it, and settles the run whatever became of the start.
@@ -135,19 +136,19 @@
   switch (reply.verdict) {
     case RunnerVerdict::kDone:
       OnBegun(run);
-      PaceNewFiller(run);
+      PaceNewBestEffortRun(run);
       return;
     case RunnerVerdict::kNoAnswer:
       ++counts_.unanswered;
       hooks_.log("start_unanswered", run.task.ToString(),
                  "run " + std::to_string(run.run));
       order.phase = Phase::kUncertain;
-      order.since = hooks_.now();
-      LookSoon();
+      order.phase_began_at = hooks_.now();
+      PollSoon();
       return;
     default:
       ++counts_.refused;
-      NotBegun(run, ReasonOf(reply.verdict));
+      ReportNotBegun(run, ReasonForVerdict(reply.verdict));
   }
 }
 
@@ -166,11 +167,11 @@
   SendToOwner(RunReports{epoch_, status_.life, {}, {}, {run}});
 }
 
-void Executor::NotBegun(const RunRef& run, NotBegunReason reason) {
+void Executor::ReportNotBegun(const RunRef& run, NotBegunReason reason) {
   orders_.erase(run);
   inventory_after_ = hooks_.now();
   paced_.erase(run);
-  life_record_.OnNeverBegun(run);
+  incarnation_record_.OnNeverBegun(run);
   hooks_.log("run_not_begun", run.task.ToString(),
              "run " + std::to_string(run.run) + ": " +
                  std::string(NotBegunReasonName(reason)));
@@ -178,21 +179,21 @@
 }
 
 void Executor::OnStopRuns(const StopRuns& stops) {
-  for (const RunRef& run : stops.runs) StopOne(run);
+  for (const RunRef& run : stops.runs) RequestStop(run);
   SendStops();
 }
 
-void Executor::StopOne(const RunRef& run) {
-  if (start_lane_.Withdraw(run)) {
+void Executor::RequestStop(const RunRef& run) {
+  if (start_queue_.Withdraw(run)) {
     ++counts_.withdrawn;
-    NotBegun(run, NotBegunReason::kStopped);
+    ReportNotBegun(run, NotBegunReason::kStopped);
     return;
   }
   Order& order = orders_[run];
   if (!order.stop_ordered_at) order.stop_ordered_at = hooks_.now();
   if (order.phase == Phase::kStopping || order.phase == Phase::kStopped) return;
   order.phase = Phase::kStopping;
-  order.since = hooks_.now();
+  order.phase_began_at = hooks_.now();
   // It need not wait for the answer to its start: the runner refuses a run that
   // was stopped before it came.
   QueueStop(run, order);
@@ -200,19 +201,20 @@
 
 void Executor::QueueStop(const RunRef& run, Order& order) {
   order.stop_pending = true;
-  stop_lane_.Push(run, {}, hooks_.now());
+  stop_queue_.Push(run, {}, hooks_.now());
 }
 
 void Executor::SendStops() {
-  while (const auto next = stop_lane_.TakeNext()) {
+  while (const auto next = stop_queue_.TakeNext()) {
     ++counts_.stops;
-    runner_.stop({status_.life, epoch_, next->run},
-                 lifetime_.Guard([this, run = next->run,
-                                  caller = PresentCaller()](RunnerReply reply) {
-                   stop_lane_.OnDone();
-                   if (IsPresent(caller)) OnStopReply(run, reply);
-                   SendStops();
-                 }));
+    runner_.stop(
+        {status_.life, epoch_, next->run},
+        lifetime_.Guard([this, run = next->run,
+                         context = CurrentCallContext()](RunnerReply reply) {
+          stop_queue_.OnDone();
+          if (IsCurrentContext(context)) OnStopReply(run, reply);
+          SendStops();
+        }));
   }
 }
 
@@ -228,14 +230,14 @@
 
 void Executor::LogOverdueStops(TimePoint now) {
   for (auto& [run, order] : orders_) {
-    if (!order.stop_ordered_at || order.overdue) continue;
+    if (!order.stop_ordered_at || order.overdue_logged) continue;
     const Duration age = now - *order.stop_ordered_at;
     if (age < kCancelLimit) continue;
-    order.overdue = true;
+    order.overdue_logged = true;
     ++counts_.stops_overdue;
     hooks_.log("stop_overdue", run.task.ToString(),
                "run " + std::to_string(run.run) + ": ordered " +
-                   MillisText(age) + " ms ago, " +
+                   WholeMillisText(age) + " ms ago, " +
                    (order.phase == Phase::kStopped ? "the runner took it"
                                                    : "not taken"));
   }
@@ -259,11 +261,11 @@
   if (reply.verdict == RunnerVerdict::kDone) {
     last_answer_ = hooks_.now();
     order.phase = Phase::kStopped;
-    order.since = hooks_.now();
-    LookSoon();
+    order.phase_began_at = hooks_.now();
+    PollSoon();
     return;
   }
-  order.retry_at = hooks_.now() + kStopRetry;
+  order.retry_at = hooks_.now() + kStopRetryInterval;
 }
 
 void Executor::ResolveOrders(const RunnerView& view, TimePoint sent_at) {
@@ -271,12 +273,12 @@
   // What has ended needs no stop any more, nor the answer to one.
   for (const RunEnd& end : view.ended) {
     orders_.erase(end.run);
-    stop_lane_.Withdraw(end.run);
+    stop_queue_.Withdraw(end.run);
   }
   std::set<RunRef> running;
   for (const RunningRun& entry : view.running) running.insert(entry.run);
   for (const auto& [run, seen] : std::map<RunRef, Order>(orders_)) {
-    if (sent_at < seen.since) continue;
+    if (sent_at < seen.phase_began_at) continue;
     const bool runs = running.count(run) > 0;
     if (seen.phase == Phase::kUncertain) {
       if (runs) {
@@ -288,22 +290,23 @@
       }
     } else if (seen.phase == Phase::kStopped) {
       if (runs) {
-        OnRunsOn(run, orders_[run], sent_at);
+        OnRunStillRunning(run, orders_[run], sent_at);
       } else {
-        NotBegun(run, NotBegunReason::kStopped);
+        ReportNotBegun(run, NotBegunReason::kStopped);
       }
     }
   }
   SendStops();
 }
 
-void Executor::OnRunsOn(const RunRef& run, Order& order, TimePoint sent_at) {
-  const Duration age = sent_at - order.since;
-  if (age < kStopTakesEffect) return;
-  ++counts_.stops_in_vain;
+void Executor::OnRunStillRunning(const RunRef& run, Order& order,
+                                 TimePoint sent_at) {
+  const Duration age = sent_at - order.phase_began_at;
+  if (age < kStopEffectTimeout) return;
+  ++counts_.stops_ineffective;
   hooks_.log("stop_in_vain", run.task.ToString(),
-             "run " + std::to_string(run.run) + ": runs " + MillisText(age) +
-                 " ms after the runner took the stop");
+             "run " + std::to_string(run.run) + ": runs " +
+                 WholeMillisText(age) + " ms after the runner took the stop");
   order.phase = Phase::kStopping;
   QueueStop(run, order);
 }
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -13,38 +13,39 @@
 namespace {
 
 // Changes of a filler's share below this are not worth a call.
-constexpr int kLeastPaceChange = 5;
+constexpr int kMinPaceChangePercent = 5;
 // Share of what serving tasks ask for that they use, on average over their
 // swings; from the workloads' sheets.
 constexpr int64_t kServingUsePercent = 50;
 // The least share at which a filler works however many come before it, unless
 // its image is held lower for what it disturbs: so the last in the order get on
 // too. At an overcommitment of a quarter it takes 2 % of the processors.
-constexpr int64_t kLeastSharePercent = 10;
+constexpr int64_t kMinSharePercent = 10;
 // What a filler works at after a pace order without an answer.
 constexpr int kUnknownPercent = -1;
 // A pace order without an answer for so long is taken for lost: the runner is
 // on the same VM, and answers within some milliseconds.
-constexpr Duration kPaceAnswered = std::chrono::milliseconds(200);
+constexpr Duration kPaceReplyTimeout = std::chrono::milliseconds(200);
 // A look that is sent so long after a pace order shows what became of it: the
 // use that it tells is up to half a second old.
-constexpr Duration kPaceSettled = std::chrono::milliseconds(550);
+constexpr Duration kPaceEffectDelay = std::chrono::milliseconds(550);
 // A filler that uses more than this part of what it asks for is at work; one
 // that was ordered to rest uses nothing.
-constexpr int64_t kAtWorkPercent = 5;
+constexpr int64_t kActiveUsePercent = 5;
 // One that was ordered this pace uses more than that, however short processors
 // are.
-constexpr int kSurelyAtWork = 50;
+constexpr int kSurelyActivePacePercent = 50;
 // A sample covers half a second; more often would count it twice.
-constexpr Duration kPressureInterval = std::chrono::milliseconds(450);
+constexpr Duration kInterferenceReportInterval = std::chrono::milliseconds(450);
 
-bool IsSeenAtWork(const RunningRun& filler, int64_t cpu_millis) {
-  return filler.measurement * kWholePercent > cpu_millis * kAtWorkPercent;
+bool IsUsingCpu(const RunningRun& running, int64_t cpu_millis) {
+  return running.measurement * kFullPacePercent >
+         cpu_millis * kActiveUsePercent;
 }
 
 }  // namespace
 
-void Executor::OnTraits(const RunTraitsList& list) {
+void Executor::OnRunTraits(const RunTraitsList& list) {
   for (const RunTraits& run : list.runs) {
     const auto [it, added] = paced_.try_emplace(run.run);
     it->second.traits = run.traits;
@@ -54,26 +55,27 @@
 
 Executor::PacingView Executor::ViewForPacing(const RunnerView& view) const {
   PacingView seen;
-  seen.free_cpu = status_.capacity.cpu_millis;
+  seen.free_cpu_millis = status_.capacity.cpu_millis;
   const auto whole =
       static_cast<double>(std::max<int64_t>(status_.capacity.cpu_millis, 1));
   for (const RunningRun& running : view.running) {
     const auto it = paced_.find(running.run);
     if (it == paced_.end()) {
-      seen.free_cpu -= running.measurement;
+      seen.free_cpu_millis -= running.measurement;
       continue;
     }
     const TaskTraits& traits = it->second.traits;
     if (traits.fills) {
-      seen.fillers.push_back(running.run);
-      seen.fillers_work =
-          seen.fillers_work || IsSeenAtWork(running, traits.cpu_millis);
-      Pacer::FillingShare& share = seen.filling[traits.image];
+      seen.best_effort_runs.push_back(running.run);
+      seen.best_effort_active =
+          seen.best_effort_active || IsUsingCpu(running, traits.cpu_millis);
+      Pacer::BestEffortShare& share = seen.best_effort[traits.image];
       share.used += static_cast<double>(running.measurement) / whole;
       share.asked += static_cast<double>(traits.cpu_millis) / whole;
       continue;
     }
-    seen.free_cpu -= traits.cpu_millis * kServingUsePercent / kWholePercent;
+    seen.free_cpu_millis -=
+        traits.cpu_millis * kServingUsePercent / kFullPacePercent;
     if (running.measurement > 0) {
       seen.serving.push_back({traits.image,
                               std::chrono::milliseconds(running.measurement),
@@ -83,109 +85,114 @@
   return seen;
 }
 
-void Executor::Pace(const RunnerView& view, TimePoint sent_at, TimePoint now) {
+void Executor::UpdatePaces(const RunnerView& view, TimePoint sent_at,
+                           TimePoint now) {
   const PacingView seen = ViewForPacing(view);
-  if (seen.serving.empty() && seen.fillers.empty()) {
-    if (!calm_told_) ReportPressure({}, {}, now);
+  if (seen.serving.empty() && seen.best_effort_runs.empty()) {
+    if (!idle_reported_) ReportInterference({}, {}, now);
     return;
   }
-  pacer_.Observe(seen.serving, seen.filling, seen.fillers_work, now);
-  NotePaces(view, sent_at, now);
-  ReportPressure(seen.serving, seen.filling, now);
-  PaceInOrder(seen.fillers, seen.free_cpu);
+  pacer_.Observe(seen.serving, seen.best_effort, seen.best_effort_active, now);
+  CheckPaces(view, sent_at, now);
+  ReportInterference(seen.serving, seen.best_effort, now);
+  AssignPaces(seen.best_effort_runs, seen.free_cpu_millis);
 }
 
-void Executor::NotePaces(const RunnerView& view, TimePoint sent_at,
-                         TimePoint now) {
+void Executor::CheckPaces(const RunnerView& view, TimePoint sent_at,
+                          TimePoint now) {
   for (const RunningRun& running : view.running) {
     const auto it = paced_.find(running.run);
     if (it == paced_.end() || !it->second.traits.fills) continue;
-    Paced& paced = it->second;
-    if (!paced.answered && now - paced.ordered_at >= kPaceAnswered) {
+    PacedRun& paced = it->second;
+    if (!paced.answered && now - paced.ordered_at >= kPaceReplyTimeout) {
       paced.percent = kUnknownPercent;
     }
-    if (sent_at - paced.ordered_at < kPaceSettled) continue;
-    const bool works = IsSeenAtWork(running, paced.traits.cpu_millis);
+    if (sent_at - paced.ordered_at < kPaceEffectDelay) continue;
+    const bool works = IsUsingCpu(running, paced.traits.cpu_millis);
     const bool ordered_to_rest = paced.percent == 0;
-    const bool ordered_to_work = paced.percent >= kSurelyAtWork;
+    const bool ordered_to_work = paced.percent >= kSurelyActivePacePercent;
     if (works ? ordered_to_rest : ordered_to_work) {
       paced.percent = kUnknownPercent;
     }
   }
 }
 
-void Executor::PaceInOrder(std::vector<RunRef> fillers, int64_t free_cpu) {
+void Executor::AssignPaces(std::vector<RunRef> best_effort_runs,
+                           int64_t free_cpu_millis) {
   const auto key = [this](const RunRef& run) {
     return std::tie(paced_.at(run).traits.yield_order, run);
   };
-  std::sort(fillers.begin(), fillers.end(),
+  std::sort(best_effort_runs.begin(), best_effort_runs.end(),
             [&](const RunRef& a, const RunRef& b) { return key(a) < key(b); });
-  const auto least_of = [this](const TaskTraits& traits) {
+  const auto min_cpu_millis = [this](const TaskTraits& traits) {
     const int64_t percent =
-        std::min<int64_t>(pacer_.PercentOf(traits.image), kLeastSharePercent);
-    return traits.cpu_millis * percent / kWholePercent;
+        std::min<int64_t>(pacer_.PacePercent(traits.image), kMinSharePercent);
+    return traits.cpu_millis * percent / kFullPacePercent;
   };
-  std::map<std::string, int64_t> allowed_cpu;  // By image, beyond the least.
-  for (const RunRef& run : fillers) {
+  std::map<std::string, int64_t>
+      allowed_cpu_millis;  // By image, beyond the least.
+  for (const RunRef& run : best_effort_runs) {
     const TaskTraits& traits = paced_.at(run).traits;
-    allowed_cpu[traits.image] +=
-        traits.cpu_millis * pacer_.PercentOf(traits.image) / kWholePercent -
-        least_of(traits);
-    free_cpu -= least_of(traits);
+    allowed_cpu_millis[traits.image] += traits.cpu_millis *
+                                            pacer_.PacePercent(traits.image) /
+                                            kFullPacePercent -
+                                        min_cpu_millis(traits);
+    free_cpu_millis -= min_cpu_millis(traits);
   }
-  for (const RunRef& run : fillers) {
-    const Paced& paced = paced_.at(run);
+  for (const RunRef& run : best_effort_runs) {
+    const PacedRun& paced = paced_.at(run);
     const int64_t cpu = std::max<int64_t>(paced.traits.cpu_millis, 1);
-    const int64_t least = least_of(paced.traits);
-    int64_t& of_image = allowed_cpu[paced.traits.image];
-    const int64_t more =
-        std::max<int64_t>(std::min({cpu - least, of_image, free_cpu}), 0);
-    of_image -= more;
-    free_cpu -= more;
+    const int64_t least = min_cpu_millis(paced.traits);
+    int64_t& allowed_for_image = allowed_cpu_millis[paced.traits.image];
+    const int64_t more = std::max<int64_t>(
+        std::min({cpu - least, allowed_for_image, free_cpu_millis}), 0);
+    allowed_for_image -= more;
+    free_cpu_millis -= more;
     const int64_t granted = least + more;
-    const auto percent = static_cast<int>(granted * kWholePercent / cpu);
+    const auto percent = static_cast<int>(granted * kFullPacePercent / cpu);
     const int change = std::abs(paced.percent - percent);
-    const bool worth_it = change >= kLeastPaceChange || percent == 0 ||
-                          percent == kWholePercent ||
+    const bool worth_it = change >= kMinPaceChangePercent || percent == 0 ||
+                          percent == kFullPacePercent ||
                           paced.percent == kUnknownPercent;
     if (change > 0 && worth_it) OrderPace(run, percent);
   }
 }
 
-void Executor::PaceNewFiller(const RunRef& run) {
+void Executor::PaceNewBestEffortRun(const RunRef& run) {
   const auto it = paced_.find(run);
   if (it == paced_.end() || !it->second.traits.fills) return;
-  const int percent = pacer_.PercentOf(it->second.traits.image);
+  const int percent = pacer_.PacePercent(it->second.traits.image);
   if (percent < it->second.percent) OrderPace(run, percent);
 }
 
 void Executor::OrderPace(const RunRef& run, int percent) {
-  Paced& paced = paced_[run];
+  PacedRun& paced = paced_[run];
   paced.percent = percent;
   paced.ordered_at = hooks_.now();
   paced.answered = false;
-  pace_lane_.Push(run, {percent}, hooks_.now());
+  pace_queue_.Push(run, {percent}, hooks_.now());
   SendPaces();
 }
 
 void Executor::SendPaces() {
-  while (const auto next = pace_lane_.TakeNext()) {
+  while (const auto next = pace_queue_.TakeNext()) {
     const RunRef& run = next->run;
     const auto it = paced_.find(run);
     if (it == paced_.end()) {  // It has ended meanwhile.
-      pace_lane_.OnDone();
+      pace_queue_.OnDone();
       continue;
     }
     it->second.ordered_at = hooks_.now();
     const uint64_t number = ++counts_.paces;
-    it->second.last_sent = number;
-    runner_.pace({status_.life, epoch_, run, next->call.percent},
-                 lifetime_.Guard([this, run, number,
-                                  caller = PresentCaller()](RunnerReply reply) {
-                   pace_lane_.OnDone();
-                   if (IsPresent(caller)) OnPaceReply(run, number, reply);
-                   SendPaces();
-                 }));
+    it->second.last_sent_number = number;
+    runner_.pace(
+        {status_.life, epoch_, run, next->call.percent},
+        lifetime_.Guard([this, run, number,
+                         context = CurrentCallContext()](RunnerReply reply) {
+          pace_queue_.OnDone();
+          if (IsCurrentContext(context)) OnPaceReply(run, number, reply);
+          SendPaces();
+        }));
   }
 }
 
@@ -194,8 +201,8 @@
   NoteClock(reply.clock);
   const auto it = paced_.find(run);
   if (it == paced_.end()) return;
-  Paced& paced = it->second;
-  const bool newest = number == paced.last_sent;
+  PacedRun& paced = it->second;
+  const bool newest = number == paced.last_sent_number;
   if (newest) paced.answered = true;
   // Unknown what it works at: order it again. An older order may have been
   // carried out after a newer one.
@@ -204,11 +211,11 @@
   }
 }
 
-void Executor::ReportPressure(const std::vector<ServingSample>& serving,
-                              const Pacer::FillingShares& filling,
-                              TimePoint now) {
-  if (now - pressure_sent_at_ < kPressureInterval) return;
-  pressure_sent_at_ = now;
+void Executor::ReportInterference(const std::vector<ServingSample>& serving,
+                                  const Pacer::BestEffortShares& best_effort,
+                                  TimePoint now) {
+  if (now - interference_reported_at_ < kInterferenceReportInterval) return;
+  interference_reported_at_ = now;
   std::map<std::string, Duration> tails;
   for (const ServingSample& sample : serving) {
     tails[sample.image] = std::max(tails[sample.image], sample.tail);
@@ -218,13 +225,13 @@
   for (const auto& [image, tail] : tails) {
     pressure.serving.push_back({image, tail});
   }
-  for (const auto& [image, share] : filling) {
+  for (const auto& [image, share] : best_effort) {
     const double cpu =
         share.used * static_cast<double>(status_.capacity.cpu_millis);
     pressure.filling.push_back(
-        {image, static_cast<int64_t>(cpu), pacer_.PercentOf(image)});
+        {image, static_cast<int64_t>(cpu), pacer_.PacePercent(image)});
   }
-  calm_told_ = owner_link_ && serving.empty() && filling.empty();
+  idle_reported_ = owner_link_ && serving.empty() && best_effort.empty();
   SendToOwner(pressure);
 }
 
@@ -236,12 +243,12 @@
   pacer_.set_policy(pace_policy_);
 }
 
-void Executor::OnWeights(const PressureWeights& learned) {
-  Pacer::Weights weights;
+void Executor::OnInterferenceWeights(const PressureWeights& learned) {
+  Pacer::InterferenceWeights weights;
   for (const PressureWeight& weight : learned.weights) {
     weights[{weight.serving, weight.filling}] = weight.per_vm;
   }
-  pacer_.SetWeights(std::move(weights));
+  pacer_.SetInterferenceWeights(std::move(weights));
 }
 
 }  // namespace beamhill
--- a/beamhill/executor/executor_polling.cc
+++ b/beamhill/executor/executor_polling.cc
@@ -14,23 +14,23 @@
 
 // How long a look waits for an end: short while pacing needs fresh figures, or
 // a stop is to take effect.
-constexpr milliseconds kShortWait{250};
-constexpr milliseconds kQuietWait{1000};
+constexpr milliseconds kShortPollWait{250};
+constexpr milliseconds kIdlePollWait{1000};
 // While ends wait to be settled a look returns at once, so it is repeated
 // only so often.
-constexpr Duration kUnsettledPause = std::chrono::milliseconds(70);
-constexpr Duration kLostPause = std::chrono::milliseconds(250);
-constexpr int kMaxLooksOpen = 2;
+constexpr Duration kUnacknowledgedPollInterval = std::chrono::milliseconds(70);
+constexpr Duration kFailedPollInterval = std::chrono::milliseconds(250);
+constexpr int kMaxPollsInFlight = 2;
 // The first ends that are not settled are reported again this often: the report
 // may have been of no use to the owner, or its word that they are settled be
 // lost. Few at a time, since while the table is away none is settled and all
 // VMs report at once.
-constexpr Duration kReportAgain = std::chrono::seconds(1);
-constexpr size_t kMostReportedAgain = 8;
+constexpr Duration kReportRepeatInterval = std::chrono::seconds(1);
+constexpr size_t kMaxRepeatedEnds = 8;
 
 // Looks may be answered in another order than they were sent, so this may be
 // less than what an earlier view listed.
-uint64_t HighestOf(const std::vector<RunEnd>& ends) {
+uint64_t HighestEndNumber(const std::vector<RunEnd>& ends) {
   uint64_t highest = 0;
   for (const RunEnd& end : ends) highest = std::max(highest, end.number);
   return highest;
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-void Executor::OnSettled(const EndsSettled& settled) {
-  if (settled.through <= settled_) return;
-  settled_ = settled.through;
-  LookSoon();
+void Executor::OnEndsAcknowledged(const EndsSettled& settled) {
+  if (settled.through <= acknowledged_through_) return;
+  acknowledged_through_ = settled.through;
+  PollSoon();
 }
 
-milliseconds Executor::NextWait() const {
-  if (highest_listed_ > settled_) return milliseconds(0);
+milliseconds Executor::NextPollWait() const {
+  if (highest_end_listed_ > acknowledged_through_) return milliseconds(0);
   const bool paced =
       std::any_of(paced_.begin(), paced_.end(), [](const auto& entry) {
         return entry.second.traits.tail_target > Duration(0);
@@ -53,65 +53,67 @@
   const bool stopping = std::any_of(
       orders_.begin(), orders_.end(),
       [](const auto& entry) { return entry.second.phase == Phase::kStopped; });
-  return paced || stopping ? kShortWait : kQuietWait;
+  return paced || stopping ? kShortPollWait : kIdlePollWait;
 }
 
-bool Executor::LookSoon() {
-  if (looks_open_ < kMaxLooksOpen) {
-    Look(milliseconds(0));
+bool Executor::PollSoon() {
+  if (polls_in_flight_ < kMaxPollsInFlight) {
+    PollRunner(milliseconds(0));
     return true;
   }
-  next_look_ = hooks_.now();
+  next_poll_at_ = hooks_.now();
   return false;
 }
 
-void Executor::LookIfDue(TimePoint now) {
-  if (now >= next_look_ && looks_open_ < kMaxLooksOpen && !slow_look_open_) {
-    Look(NextWait());
+void Executor::PollIfDue(TimePoint now) {
+  if (now >= next_poll_at_ && polls_in_flight_ < kMaxPollsInFlight &&
+      !long_poll_in_flight_) {
+    PollRunner(NextPollWait());
   }
 }
 
-void Executor::Look(milliseconds wait) {
+void Executor::PollRunner(milliseconds wait) {
   if (status_.life.empty() || epoch_ == 0) return;
-  ++looks_open_;
-  ++counts_.looks;
-  const bool slow = wait > milliseconds(0);
-  if (slow) slow_look_open_ = true;
+  ++polls_in_flight_;
+  ++counts_.polls;
+  const bool long_poll = wait > milliseconds(0);
+  if (long_poll) long_poll_in_flight_ = true;
   const TimePoint sent_at = hooks_.now();
-  RunnerPoll call{status_.life, epoch_, settled_, LeaseEndForRunner(), wait};
+  RunnerPoll call{status_.life, epoch_, acknowledged_through_,
+                  LeaseEndForRunner(), wait};
   runner_.poll(std::move(call),
-               lifetime_.Guard([this, sent_at, slow, epoch = epoch_,
-                                life = status_.life](RunnerView view) {
-                 --looks_open_;
-                 if (slow) slow_look_open_ = false;
-                 OnView(std::move(view), sent_at, epoch, life);
+               lifetime_.Guard([this, sent_at, long_poll, epoch = epoch_,
+                                incarnation = status_.life](RunnerView view) {
+                 --polls_in_flight_;
+                 if (long_poll) long_poll_in_flight_ = false;
+                 OnPollReply(std::move(view), sent_at, epoch, incarnation);
                }));
 }
 
-void Executor::OnView(RunnerView view, TimePoint sent_at, uint64_t epoch,
-                      const std::string& life) {
+void Executor::OnPollReply(RunnerView view, TimePoint sent_at, uint64_t epoch,
+                           const std::string& incarnation) {
   const TimePoint now = hooks_.now();
-  if (epoch != epoch_ || life != status_.life) {
-    next_look_ = now;
+  if (epoch != epoch_ || incarnation != status_.life) {
+    next_poll_at_ = now;
     return;
   }
-  if (leave_asked_at_) {
-    OnLeaveAnswered(view.reply.verdict, sent_at);
+  if (leave_polled_at_) {
+    OnLeavingRunnerPolled(view.reply.verdict, sent_at);
     if (runner_is_gone_) return;
   }
   if (view.reply.verdict != RunnerVerdict::kDone) {
-    next_look_ = now + kLostPause;
+    next_poll_at_ = now + kFailedPollInterval;
     if (view.reply.verdict == RunnerVerdict::kFenced) {
       hooks_.log("fenced", "", "epoch " + std::to_string(epoch));
     }
     if (view.reply.verdict == RunnerVerdict::kOtherIncarnation)
-      NoteAnotherAnswers();
+      NoteOtherIncarnation();
     return;
   }
   NoteClock(view.reply.clock);
   last_answer_ = now;
   for (const RunEnd& end : view.ended) {
-    highest_listed_ = std::max(highest_listed_, end.number);
+    highest_end_listed_ = std::max(highest_end_listed_, end.number);
     paced_.erase(end.run);
   }
   const auto wants_inventory = [this] {
@@ -120,13 +122,15 @@
   if (wants_inventory() && sent_at >= inventory_after_) SendInventory(view);
   ReportEnds(view);
   ResolveOrders(view, sent_at);
-  Pace(view, sent_at, now);
-  life_record_.OnView(std::move(view), sent_at);
-  next_look_ = highest_listed_ > settled_ ? now + kUnsettledPause : now;
+  UpdatePaces(view, sent_at, now);
+  incarnation_record_.OnPollReply(std::move(view), sent_at);
+  next_poll_at_ = highest_end_listed_ > acknowledged_through_
+                      ? now + kUnacknowledgedPollInterval
+                      : now;
   if (wants_inventory()) {
-    LookSoon();
-  } else if (next_look_ <= now && !slow_look_open_) {
-    Look(NextWait());
+    PollSoon();
+  } else if (next_poll_at_ <= now && !long_poll_in_flight_) {
+    PollRunner(NextPollWait());
   }
 }
 
@@ -139,11 +143,11 @@
   }
   for (const auto& [run, order] : orders_) inventory.pending.push_back(run);
   inventory.ended = view.ended;
-  AddPastLives(inventory);
+  AddPastIncarnations(inventory);
   inventory_wanted_ = false;
-  reported_ = HighestOf(view.ended);
+  reported_through_ = HighestEndNumber(view.ended);
   reported_at_ = hooks_.now();
-  calm_told_ = false;
+  idle_reported_ = false;
   SendToOwner(inventory);
   // Asks for a lease at once.
   last_heartbeat_ = hooks_.now();
@@ -153,43 +157,43 @@
 void Executor::SendEmptyInventory() {
   VmInventory inventory;
   inventory.epoch = epoch_;
-  AddPastLives(inventory);
+  AddPastIncarnations(inventory);
   SendToOwner(inventory);
 }
 
-void Executor::AddPastLives(VmInventory& inventory) const {
-  for (const auto& [at, past] : past_lives_) {
+void Executor::AddPastIncarnations(VmInventory& inventory) const {
+  for (const auto& [at, past] : past_incarnations_) {
     inventory.past_lives.push_back(past);
   }
 }
 
-bool Executor::AllLeasesOver(TimePoint now) const {
+bool Executor::AllLeasesExpired(TimePoint now) const {
   const TimePoint earlier_runs = started_at_ + options_.max_lease;
   const TimePoint last = std::max(lease_end_, earlier_runs);
-  const bool silent = now - last_answer_ >= options_.runner_lost_after;
+  const bool silent = now - last_answer_ >= options_.runner_unreachable_after;
   return silent && now >= last + options_.lease_margin;
 }
 
-void Executor::NoteAnotherAnswers() {
-  if (another_answers_) return;
-  another_answers_ = true;
+void Executor::NoteOtherIncarnation() {
+  if (other_incarnation_answers_) return;
+  other_incarnation_answers_ = true;
   hooks_.log("another_life_answers", "", "not " + status_.life);
 }
 
 void Executor::ReportEnds(const RunnerView& view) {
   if (!owner_link_) return;
   const TimePoint now = hooks_.now();
-  const bool again = now - reported_at_ >= kReportAgain;
+  const bool again = now - reported_at_ >= kReportRepeatInterval;
   RunReports reports{epoch_, status_.life, {}, {}, {}};
   size_t repeated = 0;
   for (const RunEnd& end : view.ended) {
-    if (end.number <= settled_) continue;
-    const bool is_new = end.number > reported_;
-    if (!is_new && (!again || ++repeated > kMostReportedAgain)) continue;
+    if (end.number <= acknowledged_through_) continue;
+    const bool is_new = end.number > reported_through_;
+    if (!is_new && (!again || ++repeated > kMaxRepeatedEnds)) continue;
     reports.ended.push_back(end);
   }
   if (reports.ended.empty()) return;
-  reported_ = std::max(reported_, HighestOf(view.ended));
+  reported_through_ = std::max(reported_through_, HighestEndNumber(view.ended));
   reported_at_ = now;
   SendToOwner(reports);
 }
--- a/beamhill/executor/executor_process.cc
+++ b/beamhill/executor/executor_process.cc
@@ -64,7 +64,7 @@
         &ExecutorCounts::refused);
   gauge("beamhill_starts_unanswered_total", "Starts without an answer.",
         &ExecutorCounts::unanswered);
-  gauge("beamhill_looks_total", "Looks at the runner.", &ExecutorCounts::looks);
+  gauge("beamhill_looks_total", "Looks at the runner.", &ExecutorCounts::polls);
   gauge("beamhill_paces_total", "Changes of fillers' pace.",
         &ExecutorCounts::paces);
   gauge("beamhill_stale_orders_total",
@@ -86,7 +86,7 @@
         &ExecutorCounts::stops_overdue);
   gauge("beamhill_stops_in_vain_total",
         "Stops asked once more since the runner took one and the run went on.",
-        &ExecutorCounts::stops_in_vain);
+        &ExecutorCounts::stops_ineffective);
   metrics.AddGauge("beamhill_oldest_stop_seconds",
                    "Since when an ordered stop is not settled.", [executor] {
                      return ToMillis(executor->OldestStop()) / 1000;
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -26,16 +26,16 @@
     sent_.clear();
     now_ += milliseconds(10);
     executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
-    ASSERT_THAT(looks_, SizeIs(2));
+    ASSERT_THAT(polls_, SizeIs(2));
     now_ += milliseconds(10);
   }
 
   // The look that was sent last is answered first.
-  void AnswerLastLook(std::vector<RunningRun> running,
-                      std::vector<RunEnd> ended) {
-    ASSERT_THAT(looks_, Not(IsEmpty()));
-    const auto done = looks_.back().second;
-    looks_.pop_back();
+  void AnswerNewestPoll(std::vector<RunningRun> running,
+                        std::vector<RunEnd> ended) {
+    ASSERT_THAT(polls_, Not(IsEmpty()));
+    const auto done = polls_.back().second;
+    polls_.pop_back();
     done({{RunnerVerdict::kDone, RunnerClock(1000)},
           std::move(running),
           std::move(ended)});
@@ -47,12 +47,12 @@
   AttachAgainAsARunStarts();
   AnswerAll(starts_);
   now_ += milliseconds(1);
-  AnswerLook();
-  AnswerLook();
+  AnswerPoll();
+  AnswerPoll();
   for (const VmInventory& inventory : Sent<VmInventory>()) {
     EXPECT_THAT(inventory.running, Contains(kRun));
   }
-  AnswerLook({{kRun, 0, 0}});
+  AnswerPoll({{kRun, 0, 0}});
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[0].running, Contains(kRun));
 }
@@ -66,16 +66,16 @@
   executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}});
   AnswerAll(starts_);
   AnswerAll(stops_);
-  ASSERT_THAT(looks_, SizeIs(2));  // One of before the stop.
+  ASSERT_THAT(polls_, SizeIs(2));  // One of before the stop.
   executor_->OnLinkDown(kLink);
   now_ += milliseconds(10);
-  AnswerLastLook({}, {});
+  AnswerNewestPoll({}, {});
   sent_.clear();
   now_ += milliseconds(10);
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
-  AnswerLook({{kRun, 0, 0}});
+  AnswerPoll({{kRun, 0, 0}});
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  AnswerLook();
+  AnswerPoll();
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[0].running, IsEmpty());
 }
@@ -87,13 +87,13 @@
   Attach(1);
   now_ += milliseconds(10);
   executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
-  ASSERT_THAT(looks_, SizeIs(2));
+  ASSERT_THAT(polls_, SizeIs(2));
   executor_->OnLinkDown(kLink);
-  AnswerLastLook({}, {{2, kRun, RunEndKind::kDone, ""}});
+  AnswerNewestPoll({}, {{2, kRun, RunEndKind::kDone, ""}});
   sent_.clear();
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
-  AnswerLook({{kRun, 50, 0}});
-  AnswerLook({}, {{2, kRun, RunEndKind::kDone, ""}});
+  AnswerPoll({{kRun, 50, 0}});
+  AnswerPoll({}, {{2, kRun, RunEndKind::kDone, ""}});
   std::vector<RunEnd> told;
   for (const VmInventory& inventory : Sent<VmInventory>()) {
     told.insert(told.end(), inventory.ended.begin(), inventory.ended.end());
@@ -112,8 +112,8 @@
   const auto list_for = [&](Duration time) {
     const TimePoint until = now_ + time;
     while (now_ < until) {
-      AnswerLook({}, {end});
-      Pass(milliseconds(100));
+      AnswerPoll({}, {end});
+      AdvanceTime(milliseconds(100));
     }
   };
   list_for(milliseconds(900));
@@ -136,12 +136,12 @@
   for (uint64_t number = 1; number <= 300; ++number) {
     ends.push_back({number, {{"w", 0, 0, 0}, number}, RunEndKind::kDone, ""});
   }
-  AnswerLook({}, ends);
+  AnswerPoll({}, ends);
   size_t told = 0;
   sent_.clear();
   for (int i = 0; i < 30; ++i) {
-    Pass(milliseconds(100));
-    AnswerLook({}, ends);
+    AdvanceTime(milliseconds(100));
+    AnswerPoll({}, ends);
   }
   for (const RunReports& reports : Sent<RunReports>()) {
     told += reports.ended.size();
@@ -153,14 +153,14 @@
 
 // The owner places no filler of an image where it was last held back.
 TEST_F(ExecutorReportsTest, PressureOfTasksThatAreGoneIsTakenBackOnEachLink) {
-  FillBesideASufferingService();
+  RunBestEffortBesideSlowService();
   ASSERT_THAT(Sent<VmPressure>(), Not(IsEmpty()));
   EXPECT_LT(Sent<VmPressure>().back().filling[0].percent, 100);
   const auto list_nothing_for = [this](Duration time) {
     const TimePoint until = now_ + time;
     while (now_ < until) {
-      AnswerLook();
-      Pass(milliseconds(100));
+      AnswerPoll();
+      AdvanceTime(milliseconds(100));
     }
   };
   sent_.clear();
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -12,18 +12,18 @@
 // the executors of 570 of 800 VMs took their owner for lost, since it gave them
 // no lease, and asked the table on their own for the rest of their lives.
 TEST_F(ExecutorTest, OwnerIsHeardThoughThereIsNoRunnerToGiveALeaseTo) {
-  Pass(std::chrono::seconds(3));
+  AdvanceTime(std::chrono::seconds(3));
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
   for (int i = 0; i < 4; ++i) {
     executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-    Pass(std::chrono::milliseconds(1500));
+    AdvanceTime(std::chrono::milliseconds(1500));
     EXPECT_LE(executor_->SinceOwner(), std::chrono::milliseconds(1500));
   }
 }
 
 TEST_F(ExecutorTest, EarlierOwnerIsNotHeard) {
   executor_->OnMessage(kLink, ::beamhill::Attach{"b", 2});
-  Pass(std::chrono::seconds(3));
+  AdvanceTime(std::chrono::seconds(3));
   executor_->OnMessage(kLink + 1, ::beamhill::Attach{"a", 1});
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
 }
@@ -31,8 +31,8 @@
 TEST_F(ExecutorTest, InventoryIsAskedOfTheRunnerUnderTheNewEpoch) {
   Register("life-1");
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 3});
-  AnswerLook({{kRun, 100, 0}});
-  EXPECT_EQ(last_look_.epoch, 3);
+  AnswerPoll({{kRun, 100, 0}});
+  EXPECT_EQ(last_poll_.epoch, 3);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[0].running, testing::ElementsAre(kRun));
 }
@@ -136,7 +136,7 @@
   starts.latest_start = now_ + seconds(1);
   executor_->OnMessage(kLink, starts);
   EXPECT_EQ(executor_->starts_waiting(), 2);
-  Pass(milliseconds(1200));
+  AdvanceTime(milliseconds(1200));
   EXPECT_EQ(executor_->starts_waiting(), 0);
   EXPECT_EQ(executor_->counts().outdated, 2);
   EXPECT_THAT(Sent<RunReports>(), SizeIs(2));
@@ -173,12 +173,12 @@
 TEST_F(ExecutorTest, UnansweredStartThatRunsIsTakenAsStarted) {
   Register("life-1");
   Attach(1);
-  AnswerLook();  // The one that was open; the next is open now.
+  AnswerPoll();  // The one that was open; the next is open now.
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  AnswerLook();  // Sent before the start.
-  AnswerLook({{kRun, 100, 0}});
+  AnswerPoll();  // Sent before the start.
+  AnswerPoll({{kRun, 100, 0}});
   EXPECT_THAT(stops_, IsEmpty());
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
 }
@@ -189,15 +189,15 @@
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  AnswerLook();  // Sent before the start, so it tells nothing.
+  AnswerPoll();  // Sent before the start, so it tells nothing.
   EXPECT_THAT(stops_, IsEmpty());
-  AnswerLook();
+  AnswerPoll();
   ASSERT_THAT(stops_, SizeIs(1));
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
   now_ += milliseconds(5);
   stops_[0].second({RunnerVerdict::kDone, std::nullopt});
-  AnswerLook();
-  AnswerLook();
+  AnswerPoll();
+  AnswerPoll();
   ASSERT_THAT(Sent<RunReports>(), SizeIs(1));
   EXPECT_EQ(Sent<RunReports>()[0].not_begun[0].run, kRun);
 }
@@ -208,33 +208,33 @@
   executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}});
   ASSERT_THAT(stops_, SizeIs(1));
   stops_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  Pass(milliseconds(500));
+  AdvanceTime(milliseconds(500));
   EXPECT_THAT(stops_, SizeIs(2));
 }
 
 TEST_F(ExecutorTest, EndsAreForgottenOnlyWhenSettled) {
   Register("life-1");
   Attach(1);
-  AnswerLook();
+  AnswerPoll();
   executor_->OnMessage(kLink, EndsSettled{1, "life-1", 4});
   executor_->OnMessage(kLink, EndsSettled{1, "another life", 9});
-  AnswerLook();
-  EXPECT_EQ(last_look_.acknowledged_through, 0);  // Sent before it was settled.
-  AnswerLook();
-  EXPECT_EQ(last_look_.acknowledged_through, 4);
+  AnswerPoll();
+  EXPECT_EQ(last_poll_.acknowledged_through, 0);  // Sent before it was settled.
+  AnswerPoll();
+  EXPECT_EQ(last_poll_.acknowledged_through, 4);
 }
 
 TEST_F(ExecutorTest, EndIsReportedOnceForEachLink) {
   Register("life-1");
   Attach(1);
   const RunEnd end{1, kRun, RunEndKind::kDone, ""};
-  AnswerLook({}, {end});
-  AnswerLook({}, {end});
+  AnswerPoll({}, {end});
+  AnswerPoll({}, {end});
   EXPECT_THAT(Sent<RunReports>(), SizeIs(1));
   // On a new link the inventory tells it again.
   executor_->OnMessage(2, ::beamhill::Attach{"a", 1});
-  AnswerLook({}, {end});
-  AnswerLook({}, {end});
+  AnswerPoll({}, {end});
+  AnswerPoll({}, {end});
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(2));
   EXPECT_THAT(Sent<VmInventory>()[1].ended, SizeIs(1));
 }
@@ -254,9 +254,9 @@
 TEST_F(ExecutorTest, NoHeartbeatWhileTheRunnerIsOutOfReach) {
   Register("life-1");
   Attach(1);
-  Pass(seconds(2));
+  AdvanceTime(seconds(2));
   sent_.clear();
-  Pass(seconds(2));
+  AdvanceTime(seconds(2));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
@@ -270,10 +270,10 @@
     executor_->OnMessage(kLink, RenewLease{1, now_, seconds(5)});
     Start({{"w", 0, 0, 0}, run}, 1);
     starts_.back().second({RunnerVerdict::kUnreachable, std::nullopt});
-    Pass(milliseconds(300));
+    AdvanceTime(milliseconds(300));
   }
   sent_.clear();
-  Pass(seconds(1));
+  AdvanceTime(seconds(1));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
@@ -285,9 +285,9 @@
   Attach(1);  // Grants 5 s.
   executor_->OnMessage(2, ::beamhill::Attach{"b", 2});
   sent_.clear();
-  Pass(milliseconds(4500));
+  AdvanceTime(milliseconds(4500));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(milliseconds(2500));
+  AdvanceTime(milliseconds(2500));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].epoch, 2);
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
@@ -306,9 +306,9 @@
   hooks.log = [](const std::string&, const std::string&, const std::string&) {};
   executor_ = std::make_unique<Executor>(options, std::move(silent), hooks);
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(seconds(6));
+  AdvanceTime(seconds(6));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(seconds(1));
+  AdvanceTime(seconds(1));
   EXPECT_THAT(Sent<VmInventory>(), SizeIs(1));
 }
 
@@ -317,10 +317,10 @@
   Attach(1);
   sent_.clear();
   executor_->OnRunnerLeaving("life-1");
-  Pass(milliseconds(300));
+  AdvanceTime(milliseconds(300));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(milliseconds(400));
-  const auto asked = looks_.back().second;
+  AdvanceTime(milliseconds(400));
+  const auto asked = polls_.back().second;
   RunnerView gone;
   gone.reply.verdict = RunnerVerdict::kUnreachable;
   asked(gone);
@@ -336,13 +336,13 @@
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const RunRef later{{"later", 0, 0, 0}, 1};
   const RunRef first{{"first", 0, 0, 0}, 1};
-  Start(later, 1, {}, /*fills=*/true, /*yield_order=*/9);
-  Start(first, 1, {}, /*fills=*/true, /*yield_order=*/1);
+  Start(later, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/9);
+  Start(first, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/1);
   Start(serving, 1, milliseconds(20));
   AnswerAll(starts_);
-  Pass(milliseconds(300));
+  AdvanceTime(milliseconds(300));
   // Near its target: the image is to use two thirds of what it asks for.
-  AnswerLook({{later, 100, 2000}, {first, 100, 2000}, {serving, 100, 19}});
+  AnswerPoll({{later, 100, 2000}, {first, 100, 2000}, {serving, 100, 19}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.run, later);
   EXPECT_LT(paces_[0].first.percent, 50);
@@ -355,12 +355,12 @@
   std::vector<RunningRun> running;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunRef run{{"w", 0, 0, i}, 1};
-    Start(run, 1, {}, /*fills=*/true, /*yield_order=*/10 - i);
+    Start(run, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/10 - i);
     running.push_back({run, 100, 1600});
   }
   AnswerAll(starts_);
-  Pass(milliseconds(300));
-  AnswerLook(running);
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
   // The last one gets its least share, and all others what is left.
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[0].first.run.task.index, 1);
@@ -370,7 +370,7 @@
 }
 
 TEST_F(ExecutorTest, FillerIsPacedWhenItsNeighbourSuffers) {
-  FillBesideASufferingService();
+  RunBestEffortBesideSlowService();
   ASSERT_FALSE(paces_.empty());
   EXPECT_EQ(paces_[0].first.run, kRun);
   EXPECT_LT(paces_[0].first.percent, 100);
@@ -382,18 +382,18 @@
 TEST_F(ExecutorTest, UnansweredPaceIsOrderedAgain) {
   Register("life-1");
   Attach(1);
-  Start(kRun, 1, {}, /*fills=*/true);
+  Start(kRun, 1, {}, /*best_effort=*/true);
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
   // Another task leaves nothing of eight cores: the least share remains.
   const std::vector<RunningRun> running = {
       {kRun, 100, 0}, {{{"other", 0, 0, 0}, 1}, 100, 8000}};
-  Pass(milliseconds(300));
-  AnswerLook(running);
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.percent, 10);
   paces_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  Pass(milliseconds(300));
-  AnswerLook(running);
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[1].first.percent, 10);
 }
@@ -403,49 +403,49 @@
 TEST_F(ExecutorTest, PaceThatIsAnsweredAfterANewerOneIsFollowedByAnother) {
   Register("life-1");
   Attach(1);
-  Start(kRun, 1, {}, /*fills=*/true);
+  Start(kRun, 1, {}, /*best_effort=*/true);
   AnswerAll(starts_);
   const RunRef other{{"other", 0, 0, 0}, 1};
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 0}, {other, 100, 8000}});
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 0}, {other, 100, 1000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 0}, {other, 100, 8000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 0}, {other, 100, 1000}});
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[0].first.percent, 10);
   EXPECT_EQ(paces_[1].first.percent, 100);
   paces_[1].second({RunnerVerdict::kDone, std::nullopt});
   paces_[0].second({RunnerVerdict::kDone, std::nullopt});
   for (int i = 0; i < 10 && paces_.size() < 3; ++i) {
-    Pass(milliseconds(300));
-    AnswerLook({{kRun, 100, 200}, {other, 100, 1000}});
+    AdvanceTime(milliseconds(300));
+    AnswerPoll({{kRun, 100, 200}, {other, 100, 1000}});
   }
   ASSERT_THAT(paces_, SizeIs(3));
   EXPECT_EQ(paces_[2].first.percent, 100);
   paces_[2].second({RunnerVerdict::kDone, std::nullopt});
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 2000}, {other, 100, 1000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 2000}, {other, 100, 1000}});
   EXPECT_THAT(paces_, SizeIs(3));
 }
 
 // An order that was carried out late undoes a newer one: the next looks show
 // it.
 TEST_F(ExecutorTest, FillerThatWorksThoughItRestsIsOrderedAgain) {
-  FillBesideASufferingService();
+  RunBestEffortBesideSlowService();
   const RunRef serving{{"w", 0, 0, 1}, 1};
-  const auto suffer = [&](int64_t use) {
-    Pass(milliseconds(300));
-    AnswerLook({{kRun, 50, use}, {serving, 100, 45}});
+  const auto answer_slow_service = [&](int64_t use) {
+    AdvanceTime(milliseconds(300));
+    AnswerPoll({{kRun, 50, use}, {serving, 100, 45}});
     for (auto& [call, done] : std::exchange(paces_, {})) {
       last_pace_ = call.percent;
       done({RunnerVerdict::kDone, std::nullopt});
     }
   };
-  for (int i = 0; i < 6; ++i) suffer(0);
+  for (int i = 0; i < 6; ++i) answer_slow_service(0);
   ASSERT_EQ(last_pace_, 0);
   last_pace_ = -1;
-  for (int i = 0; i < 3; ++i) suffer(0);
+  for (int i = 0; i < 3; ++i) answer_slow_service(0);
   EXPECT_EQ(last_pace_, -1);  // All is as ordered.
-  for (int i = 0; i < 3; ++i) suffer(2000);
+  for (int i = 0; i < 3; ++i) answer_slow_service(2000);
   EXPECT_EQ(last_pace_, 0);
 }
 
@@ -455,7 +455,7 @@
   Attach(1);
   RunTraitsList list{1, "life-1", {{kRun, {"img", true, {}, 2000, 0}}}};
   executor_->OnMessage(kLink, list);
-  AnswerLook({{kRun, 0, 0}});
+  AnswerPoll({{kRun, 0, 0}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.percent, 100);
 }
@@ -478,10 +478,10 @@
 
 // It begins at full speed, and until the next look nobody would hold it.
 TEST_F(ExecutorTest, NewFillerIsHeldToThePaceOfItsImageAtOnce) {
-  FillBesideASufferingService();
+  RunBestEffortBesideSlowService();
   AnswerAll(paces_);
   const RunRef fresh{{"fresh", 0, 0, 0}, 1};
-  Start(fresh, 1, {}, /*fills=*/true);
+  Start(fresh, 1, {}, /*best_effort=*/true);
   ASSERT_THAT(starts_, SizeIs(1));
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
   ASSERT_THAT(paces_, SizeIs(1));
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -43,7 +43,7 @@
       paces_.push_back({std::move(call), done});
     };
     runner.poll = [this](RunnerPoll call, auto done) {
-      looks_.push_back({std::move(call), done});
+      polls_.push_back({std::move(call), done});
     };
     ExecutorHooks hooks;
     hooks.now = [this] { return now_; };
@@ -60,23 +60,23 @@
 
   int last_pace_ = -1;
 
-  void Register(const std::string& life) {
+  void Register(const std::string& incarnation) {
     VmStatus status;
-    status.life = life;
+    status.life = incarnation;
     status.capacity = {8000, 16000, 0};
     executor_->OnRunnerRegistered(status, RunnerClock(1000));
   }
 
   // The oldest open look is answered with what runs and what has ended.
-  void AnswerLook(std::vector<RunningRun> running = {},
+  void AnswerPoll(std::vector<RunningRun> running = {},
                   std::vector<RunEnd> ended = {}) {
-    for (int i = 0; looks_.empty() && i < 20; ++i) {
-      Pass(std::chrono::milliseconds(100));
+    for (int i = 0; polls_.empty() && i < 20; ++i) {
+      AdvanceTime(std::chrono::milliseconds(100));
     }
-    ASSERT_FALSE(looks_.empty());
-    const auto [call, done] = looks_.front();
-    looks_.pop_front();
-    last_look_ = call;
+    ASSERT_FALSE(polls_.empty());
+    const auto [call, done] = polls_.front();
+    polls_.pop_front();
+    last_poll_ = call;
     done({{RunnerVerdict::kDone, RunnerClock(1000)},
           std::move(running),
           std::move(ended)});
@@ -84,22 +84,22 @@
 
   void Attach(uint64_t epoch) {
     executor_->OnMessage(kLink, ::beamhill::Attach{"a", epoch});
-    AnswerLook();
+    AnswerPoll();
     executor_->OnMessage(kLink,
                          RenewLease{epoch, now_, std::chrono::seconds(5)});
   }
 
   void Start(const RunRef& run, uint64_t epoch, Duration tail_target = {},
-             bool fills = false, double yield_order = 0) {
+             bool best_effort = false, double best_effort_rank = 0) {
     StartRuns starts;
     starts.epoch = epoch;
     starts.life = executor_->status().life;
     starts.workflow = run.task.workflow;
     starts.traits.image = "img";
-    starts.traits.fills = fills;
+    starts.traits.fills = best_effort;
     starts.traits.tail_target = tail_target;
     starts.traits.cpu_millis = 2000;
-    starts.traits.yield_order = yield_order;
+    starts.traits.yield_order = best_effort_rank;
     starts.runs = {{run.task.index, run.run, "", ""}};
     executor_->OnMessage(kLink, starts);
   }
@@ -115,16 +115,16 @@
   }
 
   // For 1.2 s, kRun fills beside a serving task that is far over its target.
-  void FillBesideASufferingService() {
+  void RunBestEffortBesideSlowService() {
     Register("life-1");
     Attach(1);
     const RunRef serving{{"w", 0, 0, 1}, 1};
-    Start(kRun, 1, {}, /*fills=*/true);
+    Start(kRun, 1, {}, /*best_effort=*/true);
     Start(serving, 1, std::chrono::milliseconds(20));
     AnswerAll(starts_);
     for (int i = 0; i < 4; ++i) {
-      Pass(std::chrono::milliseconds(300));
-      AnswerLook({{kRun, 50, 4000}, {serving, 100, 45}});
+      AdvanceTime(std::chrono::milliseconds(300));
+      AnswerPoll({{kRun, 50, 4000}, {serving, 100, 45}});
     }
   }
 
@@ -137,7 +137,7 @@
     return found;
   }
 
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += std::chrono::milliseconds(100);
@@ -150,8 +150,8 @@
   std::deque<std::pair<RunnerStart, std::function<void(RunnerReply)>>> starts_;
   std::deque<std::pair<RunnerStop, std::function<void(RunnerReply)>>> stops_;
   std::deque<std::pair<RunnerPace, std::function<void(RunnerReply)>>> paces_;
-  std::deque<std::pair<RunnerPoll, std::function<void(RunnerView)>>> looks_;
-  RunnerPoll last_look_;
+  std::deque<std::pair<RunnerPoll, std::function<void(RunnerView)>>> polls_;
+  RunnerPoll last_poll_;
   std::vector<std::pair<uint64_t, DispatchMessage>> sent_;
   std::map<std::string, std::vector<std::string>> logged_;  // By event.
 };
--- a/beamhill/executor/incarnation_record.cc
+++ b/beamhill/executor/incarnation_record.cc
@@ -9,25 +9,26 @@
 namespace {
 
 // Keeps a line well below the 4 KiB that a log line may have.
-constexpr size_t kMostNames = 12;
+constexpr size_t kMaxNames = 12;
 
 }  // namespace
 
-void LifeRecord::OnAnswered(TimePoint sent_at) {
+void IncarnationRecord::OnAnswered(TimePoint sent_at) {
   for (auto it = asked_.begin(); it != asked_.end();) {
     it = sent_at - it->second > kCrashWindow ? asked_.erase(it) : std::next(it);
   }
 }
 
-void LifeRecord::OnView(RunnerView view, TimePoint sent_at) {
+void IncarnationRecord::OnPollReply(RunnerView view, TimePoint sent_at) {
   OnAnswered(sent_at);
   for (const RunEnd& end : view.ended) asked_.erase(end.run);
   last_view_ = std::move(view);
 }
 
-PastLife LifeRecord::Describe(const std::string& life, bool announced) const {
+PastLife IncarnationRecord::Describe(const std::string& incarnation,
+                                     bool announced) const {
   PastLife past;
-  past.life = life;
+  past.life = incarnation;
   past.announced = announced;
   past.ended = last_view_.ended;
   for (const auto& [run, asked_at] : asked_) past.just_begun.push_back(run);
@@ -39,12 +40,12 @@
 
 std::string RunNames(const std::vector<RunRef>& runs) {
   std::string names;
-  for (size_t i = 0; i < std::min(runs.size(), kMostNames); ++i) {
+  for (size_t i = 0; i < std::min(runs.size(), kMaxNames); ++i) {
     if (i > 0) names += " ";
     names += runs[i].task.ToString() + "/" + std::to_string(runs[i].run);
   }
-  if (runs.size() > kMostNames) {
-    names += " and " + std::to_string(runs.size() - kMostNames) + " more";
+  if (runs.size() > kMaxNames) {
+    names += " and " + std::to_string(runs.size() - kMaxNames) + " more";
   }
   return names.empty() ? "none" : names;
 }
--- a/beamhill/executor/incarnation_record.h
+++ b/beamhill/executor/incarnation_record.h
@@ -5,9 +5,9 @@
 // A task that takes its runner down does so as it starts. So of a runner that
 // is lost, only what had just begun when it was last heard is under suspicion.
 //
-//   LifeRecord record;
+//   IncarnationRecord record;
 //   record.OnAsked(run, now);         // A start is asked of the runner.
-//   record.OnView(view, asked_at);    // The runner has answered a look.
+//   record.OnPollReply(view, asked_at);    // The runner has answered a look.
 //   PastLife past = record.Describe("life-1", /*announced=*/false);
 #ifndef BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 #define BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
@@ -22,7 +22,7 @@
 
 namespace beamhill {
 
-class LifeRecord {
+class IncarnationRecord {
  public:
   void OnAsked(const RunRef& run, TimePoint now) { asked_[run] = now; }
   void OnNeverBegun(const RunRef& run) { asked_.erase(run); }
@@ -31,10 +31,10 @@
   void OnAnswered(TimePoint sent_at);
   // The same, with all that runs there and all ends that are not settled. The
   // view is kept as it is, not copied: several come each second.
-  void OnView(RunnerView view, TimePoint sent_at);
+  void OnPollReply(RunnerView view, TimePoint sent_at);
 
   // `announced`: the runner had said that it leaves.
-  PastLife Describe(const std::string& life, bool announced) const;
+  PastLife Describe(const std::string& incarnation, bool announced) const;
 
  private:
   std::map<RunRef, TimePoint> asked_;  // Within kCrashWindow.
--- a/beamhill/executor/latency_guard.h
+++ b/beamhill/executor/latency_guard.h
@@ -8,8 +8,8 @@
 // Users count harm after 4 s, or as the settings say: a sample trails its cause
 // by up to a second, a look and an order take a third of one.
 //
-//   HarmGuard guard;
-//   guard.Observe(serving, fillers_work, now);
+//   LatencyGuard guard;
+//   guard.Observe(serving, best_effort_active, now);
 //   if (guard.resting()) PaceAll(0);
 #ifndef BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
 #define BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
@@ -26,22 +26,22 @@
 // When users count harm, unless the settings say otherwise.
 inline constexpr Duration kDefaultHarmAfter = std::chrono::seconds(4);
 
-class HarmGuard {
+class LatencyGuard {
  public:
   // `harm_after`: for how long a task may be over its target until users count
   // it as harmed.
-  explicit HarmGuard(Duration harm_after = kDefaultHarmAfter);
+  explicit LatencyGuard(Duration harm_after = kDefaultHarmAfter);
 
   // Takes in the newest samples of the VM, and whether some filler is seen at
   // work: orders may be lost, so a rest counts only from when none is.
-  void Observe(const std::vector<ServingSample>& serving, bool fillers_work,
-               TimePoint now);
+  void Observe(const std::vector<ServingSample>& serving,
+               bool best_effort_active, TimePoint now);
 
   // Whether all fillers of the VM are to rest.
-  bool resting() const { return resting_; }
+  bool paused() const { return paused_; }
   // Whether the last rest has ended by its time, with a tail still up: so the
   // load is the service's own. Until the next rest, or until no tail is up.
-  bool rest_was_in_vain() const { return rest_was_in_vain_; }
+  bool last_pause_ineffective() const { return last_pause_ineffective_; }
 
  private:
   // A serving image that is over its target, or close below it.
@@ -50,15 +50,15 @@
     TimePoint last_over{};
   };
 
-  void NoteOverruns(const std::vector<ServingSample>& serving, TimePoint now);
+  void UpdateOverruns(const std::vector<ServingSample>& serving, TimePoint now);
   // For how long the one has lasted that has lasted longest.
   Duration LongestOverrun() const;
 
-  Duration rest_after_;                      // How long an overrun may last.
+  Duration pause_after_;                     // How long an overrun may last.
   std::map<std::string, Overrun> overruns_;  // By serving image.
-  bool resting_ = false;
-  bool rest_was_in_vain_ = false;
-  TimePoint resting_since_{};
+  bool paused_ = false;
+  bool last_pause_ineffective_ = false;
+  TimePoint paused_since_{};
 };
 
 }  // namespace beamhill
--- a/beamhill/executor/latency_guard_test.cc
+++ b/beamhill/executor/latency_guard_test.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kTarget = milliseconds(20);
 
-class HarmGuardTest : public testing::Test {
+class LatencyGuardTest : public testing::Test {
  protected:
   // The same tails for a while, looked at every 250 ms.
   void Observe(Duration time, const std::vector<int>& tails) {
@@ -22,80 +22,80 @@
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += milliseconds(250);
-      guard_.Observe(serving, /*fillers_work=*/!guard_.resting(), now_);
+      guard_.Observe(serving, /*best_effort_active=*/!guard_.paused(), now_);
     }
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  HarmGuard guard_;
+  LatencyGuard guard_;
 };
 
-TEST_F(HarmGuardTest, ShortOverrunsAreLeftAlone) {
+TEST_F(LatencyGuardTest, ShortOverrunsAreLeftAlone) {
   for (int i = 0; i < 10; ++i) {
     Observe(milliseconds(1500), {60});
-    EXPECT_FALSE(guard_.resting());
+    EXPECT_FALSE(guard_.paused());
     Observe(milliseconds(750), {10});
   }
 }
 
-TEST_F(HarmGuardTest, RestsWithinTwoAndAQuarterSeconds) {
+TEST_F(LatencyGuardTest, RestsWithinTwoAndAQuarterSeconds) {
   Observe(milliseconds(2250), {25});
-  EXPECT_TRUE(guard_.resting());
+  EXPECT_TRUE(guard_.paused());
 }
 
-TEST_F(HarmGuardTest, RestsSoonerWhereHarmCountsSooner) {
-  guard_ = HarmGuard(seconds(2));
+TEST_F(LatencyGuardTest, RestsSoonerWhereHarmCountsSooner) {
+  guard_ = LatencyGuard(seconds(2));
   Observe(milliseconds(1250), {25});
-  EXPECT_TRUE(guard_.resting());
+  EXPECT_TRUE(guard_.paused());
 }
 
 // Two tasks of an image whose loads peak in turn: the image is never clear.
-TEST_F(HarmGuardTest, TurnsOfTwoTasksAreOneOverrun) {
+TEST_F(LatencyGuardTest, TurnsOfTwoTasksAreOneOverrun) {
   for (int i = 0; i < 5; ++i) {
     Observe(milliseconds(250), {30, 10});
     Observe(milliseconds(250), {10, 30});
   }
-  EXPECT_TRUE(guard_.resting());
+  EXPECT_TRUE(guard_.paused());
 }
 
-TEST_F(HarmGuardTest, RestEndsOnceTheTailIsDown) {
+TEST_F(LatencyGuardTest, RestEndsOnceTheTailIsDown) {
   Observe(milliseconds(2250), {60});
-  ASSERT_TRUE(guard_.resting());
+  ASSERT_TRUE(guard_.paused());
   Observe(milliseconds(500), {30});
-  EXPECT_TRUE(guard_.resting());
+  EXPECT_TRUE(guard_.paused());
   Observe(milliseconds(250), {15});
-  EXPECT_FALSE(guard_.resting());
-  EXPECT_FALSE(guard_.rest_was_in_vain());
+  EXPECT_FALSE(guard_.paused());
+  EXPECT_FALSE(guard_.last_pause_ineffective());
 }
 
-TEST_F(HarmGuardTest, RestThatChangesNothingEnds) {
+TEST_F(LatencyGuardTest, RestThatChangesNothingEnds) {
   Observe(milliseconds(2250), {60});
   Observe(milliseconds(1500), {60});
-  EXPECT_FALSE(guard_.resting());
-  EXPECT_TRUE(guard_.rest_was_in_vain());
+  EXPECT_FALSE(guard_.paused());
+  EXPECT_TRUE(guard_.last_pause_ineffective());
   // It is tried again: the fillers may have come to matter.
   Observe(milliseconds(2250), {60});
-  EXPECT_TRUE(guard_.resting());
+  EXPECT_TRUE(guard_.paused());
 }
 
 // An order to rest may be lost.
-TEST_F(HarmGuardTest, RestCountsFromWhenNoFillerWorks) {
+TEST_F(LatencyGuardTest, RestCountsFromWhenNoFillerWorks) {
   Observe(milliseconds(2250), {60});
   for (int i = 0; i < 8; ++i) {
     now_ += milliseconds(250);
     guard_.Observe({{"web", milliseconds(60), kTarget}}, true, now_);
-    EXPECT_TRUE(guard_.resting());
+    EXPECT_TRUE(guard_.paused());
   }
   Observe(milliseconds(1500), {60});
-  EXPECT_FALSE(guard_.resting());
+  EXPECT_FALSE(guard_.paused());
 }
 
-TEST_F(HarmGuardTest, TaskWithoutATargetCountsForNothing) {
+TEST_F(LatencyGuardTest, TaskWithoutATargetCountsForNothing) {
   for (int i = 0; i < 20; ++i) {
     now_ += milliseconds(250);
     guard_.Observe({{"web", milliseconds(500), Duration(0)}}, true, now_);
   }
-  EXPECT_FALSE(guard_.resting());
+  EXPECT_FALSE(guard_.paused());
 }
 
 }  // namespace
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -8,11 +8,11 @@
 // caution costs nothing. Where fillers ask for more than there is, a pace a
 // little below demand makes nearly all work late: there the owner chooses the
 // policy by which fillers work at their whole pace but for the rests of
-// HarmGuard.
+// LatencyGuard.
 //
 //   Pacer pacer;
-//   pacer.Observe(serving, filling, fillers_work, now);
-//   int percent = pacer.PercentOf("batch-7");
+//   pacer.Observe(serving, filling, best_effort_active, now);
+//   int percent = pacer.PacePercent("batch-7");
 #ifndef BEAMHILL_EXECUTOR_PACER_H_
 #define BEAMHILL_EXECUTOR_PACER_H_
 
@@ -29,64 +29,68 @@
 namespace beamhill {
 
 // The pace of a filler that nothing holds back.
-inline constexpr int kWholePercent = 100;
+inline constexpr int kFullPacePercent = 100;
 
 class Pacer {
  public:
   // Serving and filling image to what the filler would add to the tail if it
   // had the whole VM.
-  using Weights = std::map<std::pair<std::string, std::string>, Duration>;
+  using InterferenceWeights =
+      std::map<std::pair<std::string, std::string>, Duration>;
   // Shares of the VM's processors.
-  struct FillingShare {
+  struct BestEffortShare {
     double used = 0;   // By all tasks of the image, now.
     double asked = 0;  // What they would use at their full pace.
   };
-  using FillingShares = std::map<std::string, FillingShare>;  // By image.
+  using BestEffortShares = std::map<std::string, BestEffortShare>;  // By image.
 
-  // `harm_after`: see HarmGuard.
+  // `harm_after`: see LatencyGuard.
   explicit Pacer(Duration harm_after = kDefaultHarmAfter)
       : guard_(harm_after) {}
 
   void set_policy(PacePolicy policy) { policy_ = policy; }
   // What the owner has learned; replaces what it said before.
-  void SetWeights(Weights weights) { weights_ = std::move(weights); }
+  void SetInterferenceWeights(InterferenceWeights weights) {
+    weights_ = std::move(weights);
+  }
   // Takes in the newest samples of the VM and changes paces by them.
-  // `fillers_work`: whether some filler is seen to use processors.
+  // `best_effort_active`: whether some filler is seen to use processors.
   void Observe(const std::vector<ServingSample>& serving,
-               const FillingShares& filling, bool fillers_work, TimePoint now);
+               const BestEffortShares& best_effort, bool best_effort_active,
+               TimePoint now);
   // The percentage at which tasks of the image may work; 100 at first.
-  int PercentOf(const std::string& image) const;
+  int PacePercent(const std::string& image) const;
 
  private:
   // Changes paces by feedback; for light load.
-  void ObserveCautiously(const std::vector<ServingSample>& serving,
-                         const FillingShares& filling, TimePoint now);
+  void ApplyFeedback(const std::vector<ServingSample>& serving,
+                     const BestEffortShares& best_effort, TimePoint now);
   double WeightMillis(const std::string& serving,
-                      const std::string& filling) const;
+                      const std::string& best_effort) const;
   // After a rest: gives fillers that are known to be harmless their pace back.
-  void SpareHarmless(const std::vector<ServingSample>& serving,
-                     const FillingShares& filling);
+  void RestoreHarmless(const std::vector<ServingSample>& serving,
+                       const BestEffortShares& best_effort);
   // Cuts some fillers when a tail has been near its target or over it for so
   // long: at first those that are known to disturb; if that has not helped, all
   // that are not known to be harmless.
-  void Restrain(const std::vector<ServingSample>& over,
-                const FillingShares& filling, Duration near_for);
-  void Cut(const std::vector<ServingSample>& over,
-           const FillingShares& filling);
-  void Give(const std::vector<ServingSample>& serving,
-            const FillingShares& filling);
-  bool KnownHarmless(const std::vector<ServingSample>& over,
-                     const std::string& image) const;
-  void CutImage(const std::string& image, double keep);
+  void ReducePaces(const std::vector<ServingSample>& over,
+                   const BestEffortShares& best_effort, Duration near_for);
+  void ReduceLikelySources(const std::vector<ServingSample>& over,
+                           const BestEffortShares& best_effort);
+  void IncreasePaces(const std::vector<ServingSample>& serving,
+                     const BestEffortShares& best_effort);
+  bool IsKnownHarmless(const std::vector<ServingSample>& over,
+                       const std::string& image) const;
+  void ReduceImage(const std::string& image, double factor);
 
   PacePolicy policy_ = PacePolicy::kCautious;
-  HarmGuard guard_;
-  Weights weights_;
+  LatencyGuard guard_;
+  InterferenceWeights weights_;
   std::map<std::string, int> percents_;
-  bool over_ = false;  // Or near it: some fillers are cut.
-  TimePoint over_since_{};
-  TimePoint cut_at_{};
-  TimePoint given_at_{};
+  bool near_target_ = false;  // Or near it: some fillers are cut.
+  TimePoint near_target_since_{};
+  TimePoint reduced_at_{};
+  TimePoint increased_at_{};
 };
 
 }  // namespace beamhill
--- a/beamhill/executor/pacer_test.cc
+++ b/beamhill/executor/pacer_test.cc
@@ -20,16 +20,17 @@
   // use.
   void Observe(Duration time, Duration tail,
                const std::map<std::string, double>& used) {
-    Pacer::FillingShares filling;
-    for (const auto& [image, share] : used) filling[image] = {share, asked_};
+    Pacer::BestEffortShares best_effort;
+    for (const auto& [image, share] : used)
+      best_effort[image] = {share, asked_};
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += milliseconds(250);
       const bool work =
           std::any_of(used.begin(), used.end(), [this](const auto& entry) {
-            return pacer_.PercentOf(entry.first) > 0;
+            return pacer_.PacePercent(entry.first) > 0;
           });
-      pacer_.Observe({{"web", tail, kTarget}}, filling, work, now_);
+      pacer_.Observe({{"web", tail, kTarget}}, best_effort, work, now_);
     }
   }
 
@@ -40,85 +41,85 @@
 
 TEST_F(PacerTest, LeavesFillersAloneUnderTheTarget) {
   Observe(seconds(5), milliseconds(10), {{"f", 0.5}});
-  EXPECT_EQ(pacer_.PercentOf("f"), 100);
+  EXPECT_EQ(pacer_.PacePercent("f"), 100);
 }
 
 // The users count a serving task as harmed after 4 s over its target.
 TEST_F(PacerTest, StopsFillersLongBeforeHarmCounts) {
   Observe(milliseconds(2500), milliseconds(40), {{"f", 0.5}});
-  EXPECT_EQ(pacer_.PercentOf("f"), 0);
+  EXPECT_EQ(pacer_.PacePercent("f"), 0);
 }
 
 TEST_F(PacerTest, GivesBackStepByStep) {
   Observe(seconds(3), milliseconds(40), {{"f", 0.5}});
   Observe(seconds(1), milliseconds(5), {{"f", 0}});
-  const int first = pacer_.PercentOf("f");
+  const int first = pacer_.PacePercent("f");
   EXPECT_GT(first, 0);
   EXPECT_LT(first, 100);
   Observe(seconds(6), milliseconds(5), {{"f", 0.1}});
-  EXPECT_EQ(pacer_.PercentOf("f"), 100);
+  EXPECT_EQ(pacer_.PacePercent("f"), 100);
 }
 
 TEST_F(PacerTest, CutsTheCulpritAndSparesTheRest) {
-  pacer_.SetWeights({{{"web", "heavy"}, milliseconds(100)},
-                     {{"web", "light"}, milliseconds(1)}});
+  pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(100)},
+                                 {{"web", "light"}, milliseconds(1)}});
   Observe(milliseconds(500), milliseconds(25),
           {{"heavy", 0.3}, {"light", 0.3}});
-  EXPECT_LT(pacer_.PercentOf("heavy"), 50);
-  EXPECT_EQ(pacer_.PercentOf("light"), 100);
+  EXPECT_LT(pacer_.PacePercent("heavy"), 50);
+  EXPECT_EQ(pacer_.PacePercent("light"), 100);
 }
 
 TEST_F(PacerTest, CutsAllWhenWhatIsKnownDoesNotHelp) {
-  pacer_.SetWeights({{{"web", "heavy"}, milliseconds(100)},
-                     {{"web", "light"}, milliseconds(1)}});
+  pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(100)},
+                                 {{"web", "light"}, milliseconds(1)}});
   Observe(milliseconds(3500), milliseconds(25),
           {{"heavy", 0.3}, {"light", 0.3}});
-  EXPECT_LT(pacer_.PercentOf("light"), 50);
+  EXPECT_LT(pacer_.PacePercent("light"), 50);
 }
 
 // What is known may be wrong and single samples are rough: the one filler here
 // passes for harmless, and every third sample looks fine.
 TEST_F(PacerTest, RestsAllFillersBeforeHarmCountsWhateverIsKnown) {
-  pacer_.SetWeights({{{"web", "light"}, milliseconds(1)}});
+  pacer_.SetInterferenceWeights({{{"web", "light"}, milliseconds(1)}});
   for (int i = 0; i < 3; ++i) {
     Observe(milliseconds(500), milliseconds(25), {{"light", 0.3}});
     Observe(milliseconds(250), milliseconds(17), {{"light", 0.3}});
   }
   Observe(milliseconds(250), milliseconds(25), {{"light", 0.3}});
-  EXPECT_EQ(pacer_.PercentOf("light"), 0);
+  EXPECT_EQ(pacer_.PacePercent("light"), 0);
 }
 
 // A rest that changes nothing shows that the load is the service's own.
 TEST_F(PacerTest, HarmlessFillersWorkOnWhereARestDidNotHelp) {
-  pacer_.SetWeights({{{"web", "light"}, milliseconds(1)},
-                     {{"web", "heavy"}, milliseconds(100)}});
+  pacer_.SetInterferenceWeights({{{"web", "light"}, milliseconds(1)},
+                                 {{"web", "heavy"}, milliseconds(100)}});
   Observe(milliseconds(2500), milliseconds(25), {{"light", 0}, {"heavy", 0}});
-  EXPECT_EQ(pacer_.PercentOf("light"), 0);
+  EXPECT_EQ(pacer_.PacePercent("light"), 0);
   Observe(milliseconds(1250), milliseconds(25), {{"light", 0}, {"heavy", 0}});
-  EXPECT_EQ(pacer_.PercentOf("light"), 100);
-  EXPECT_EQ(pacer_.PercentOf("heavy"), 0);
+  EXPECT_EQ(pacer_.PacePercent("light"), 100);
+  EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
 }
 
 TEST_F(PacerTest, GivesByWhatAllTasksOfAnImageAskFor) {
   Observe(seconds(3), milliseconds(40), {{"heavy", 0.5}});
-  ASSERT_EQ(pacer_.PercentOf("heavy"), 0);
-  pacer_.SetWeights({{{"web", "heavy"}, milliseconds(120)}});
+  ASSERT_EQ(pacer_.PacePercent("heavy"), 0);
+  pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(120)}});
   // A step of 12 % of half the VM would add 7.2 ms to 12.
   asked_ = 0.5;
   Observe(seconds(3), milliseconds(12), {{"heavy", 0}});
-  EXPECT_EQ(pacer_.PercentOf("heavy"), 0);
+  EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
   // Of a tenth of it, 1.4 ms.
   asked_ = 0.1;
   Observe(seconds(1), milliseconds(12), {{"heavy", 0}});
-  EXPECT_GT(pacer_.PercentOf("heavy"), 0);
+  EXPECT_GT(pacer_.PacePercent("heavy"), 0);
 }
 
 TEST_F(PacerTest, KnownCulpritIsNotGivenBackOverTheTarget) {
   Observe(seconds(3), milliseconds(40), {{"heavy", 0.5}});
-  ASSERT_EQ(pacer_.PercentOf("heavy"), 0);
-  pacer_.SetWeights({{{"web", "heavy"}, milliseconds(500)}});
+  ASSERT_EQ(pacer_.PacePercent("heavy"), 0);
+  pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(500)}});
   Observe(seconds(3), milliseconds(15), {{"heavy", 0}});
-  EXPECT_EQ(pacer_.PercentOf("heavy"), 0);
+  EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
 }
 
 }  // namespace
--- a/beamhill/executor/vm_registration.h
+++ b/beamhill/executor/vm_registration.h
@@ -2,7 +2,7 @@
 //
 // After a loss of power every executor starts at the same moment, and most
 // find their row as they would write it. So the row is read first and written
-// only where it differs, and a table that refuses is asked again after a pause
+// only where it differs, and a table that refuses is asked again after a delay
 // that grows and is drawn for each: at 800 VMs the writes alone would keep one
 // partition busy for seconds.
 //
@@ -48,28 +48,29 @@
   void Withdraw(std::function<void()> done);
 
  private:
-  void Look();
+  void ReadOwnRow();
   void OnRow(const Row& row);
   void Store(uint64_t version);
   void OnStored();
-  void TryAgain(const std::string& why);
+  void RetryLater(const std::string& error);
   void RemoveRows();
   // Removes the row if it is this VM's, as it is when looked at.
-  void RemoveRow(const std::string& key, int tries, std::function<void()> done);
-  void Remove(const std::string& key, uint64_t version, int tries,
+  void RemoveRow(const std::string& key, int attempts_left,
+                 std::function<void()> done);
+  void Remove(const std::string& key, uint64_t version, int attempts_left,
               std::function<void()> done);
 
   std::string key_;
-  std::string earlier_key_;
+  std::string legacy_key_;
   std::string value_;
   Table table_;
   VmRegistrationHooks hooks_;
-  bool busy_ = false;  // A call is open.
+  bool call_in_flight_ = false;  // A call is open.
   bool withdrawn_ = false;
   std::function<void()> on_withdrawn_;
   uint64_t version_ = 0;  // Of the row as it should be; 0: not known to be so.
-  TimePoint next_look_{};
-  Duration pause_{};
+  TimePoint next_read_at_{};
+  Duration backoff_{};
   Lifetime lifetime_;
 };
 
--- a/beamhill/executor/vm_registration_test.cc
+++ b/beamhill/executor/vm_registration_test.cc
@@ -19,7 +19,7 @@
 using std::chrono::seconds;
 
 constexpr char kKey[] = "executors/vm-1";
-constexpr char kEarlierKey[] = "vms/vm-1";
+constexpr char kLegacyKey[] = "vms/vm-1";
 
 class VmRegistrationTest : public testing::Test {
  protected:
@@ -38,7 +38,7 @@
                                             std::move(table), std::move(hooks));
   }
 
-  void Pass(Duration time, VmRegistration& registration) {
+  void AdvanceTime(Duration time, VmRegistration& registration) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += milliseconds(100)) {
       registration.Tick();
@@ -62,21 +62,21 @@
 
 TEST_F(VmRegistrationTest, RowIsWrittenOnceAndNotByTheNextProcess) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   EXPECT_TRUE(first->stored());
   EXPECT_EQ(AddressIn(kKey), "10.0.0.1:1");
   EXPECT_EQ(writes(), 1);
   const auto next = Make("10.0.0.1:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   EXPECT_TRUE(next->stored());
   EXPECT_EQ(writes(), 1);
 }
 
 TEST_F(VmRegistrationTest, AnotherAddressIsStored) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   const auto moved = Make("10.0.0.2:1");
-  Pass(seconds(1), *moved);
+  AdvanceTime(seconds(1), *moved);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
@@ -89,9 +89,9 @@
     held = std::move(transaction);
   };
   const auto first = Make("10.0.0.1:1", late);
-  Pass(milliseconds(100), *first);
+  AdvanceTime(milliseconds(100), *first);
   const auto next = Make("10.0.0.2:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   EXPECT_EQ(table_.model().Commit(held).result, CommitResult::kConflict);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
@@ -109,49 +109,49 @@
   };
   table_.set_fault(TableFault::kDown);
   const auto registration = Make("10.0.0.1:1", refusing);
-  Pass(seconds(30), *registration);
+  AdvanceTime(seconds(30), *registration);
   EXPECT_LE(reads, 12);
   table_.set_fault(TableFault::kNone);
-  Pass(seconds(7), *registration);
+  AdvanceTime(seconds(7), *registration);
   EXPECT_TRUE(registration->stored());
 }
 
 // A removal of an earlier process takes effect late; no owner finds the VM.
 TEST_F(VmRegistrationTest, RowThatGoesMissingIsStoredAgainWhileNoOwnerComes) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   table_.model().Commit({{}, {{kKey, kAnyVersion, std::nullopt}}});
   since_owner_ = seconds(5);
-  Pass(seconds(11), *registration);
+  AdvanceTime(seconds(11), *registration);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.1:1");
 }
 
 TEST_F(VmRegistrationTest, OwnedVmAsksTheTableNothing) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   const uint64_t reads = table_.model().counts().reads;
-  Pass(seconds(60), *registration);
+  AdvanceTime(seconds(60), *registration);
   EXPECT_EQ(table_.model().counts().reads, reads);
 }
 
 TEST_F(VmRegistrationTest, VmThatGoesForGoodLeavesNoRowOfAnyVersion) {
   table_.model().Commit(
-      {{}, {{kEarlierKey, 0, EncodeRecord(VmRecord{"vm-1", "10.0.0.1:1"})}}});
+      {{}, {{kLegacyKey, 0, EncodeRecord(VmRecord{"vm-1", "10.0.0.1:1"})}}});
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
-  EXPECT_EQ(AddressIn(kEarlierKey), "10.0.0.1:1");  // For earlier owners.
+  AdvanceTime(seconds(1), *registration);
+  EXPECT_EQ(AddressIn(kLegacyKey), "10.0.0.1:1");  // For earlier owners.
   bool done = false;
   registration->Withdraw([&] { done = true; });
   table_.Deliver();
   EXPECT_TRUE(done);
   EXPECT_TRUE(table_.model().rows().empty());
-  Pass(seconds(20), *registration);
+  AdvanceTime(seconds(20), *registration);
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
 TEST_F(VmRegistrationTest, WithdrawalEndsThoughTheTableIsDown) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   table_.set_fault(TableFault::kDown);
   bool done = false;
   registration->Withdraw([&] { done = true; });
@@ -208,7 +208,7 @@
     }
   };
   const auto registration = Make("10.0.0.1:1", losing);
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   lose = true;
   bool done = false;
   registration->Withdraw([&] { done = true; });
@@ -219,9 +219,9 @@
 
 TEST_F(VmRegistrationTest, WithdrawalLeavesTheRowOfALaterProcess) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   const auto next = Make("10.0.0.2:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   bool done = false;
   first->Withdraw([&] { done = true; });
   table_.Deliver();
