--- a/beamhill/executor/call_queue.h
+++ b/beamhill/executor/call_queue.h
@@ -1,13 +1,12 @@
-// Calls of one kind that are to be made to a runner: so many may be open at a
-// time, the others wait here in their order.
+// FIFO queue of calls of one kind to a runner, with a limit on calls in flight.
 //
-// What waits can still be withdrawn, replaced or found to be out of date; what
-// was taken has left, and may take effect whatever becomes of its answer.
+// A queued call can be withdrawn or replaced. A call that was taken out has
+// been sent and may take effect whether or not it is answered.
 //
-//   CallQueue<PendingStart> lane(/*max_in_flight=*/3);
-//   lane.Push(run, start, now);
-//   while (auto next = lane.TakeNext()) {
-//     Call(next->run, next->call, [&lane] { lane.OnDone(); });
+//   CallQueue<PendingStart> queue(/*max_in_flight=*/3);
+//   queue.Push(run, start, now);
+//   while (auto next = queue.TakeNext()) {
+//     Call(next->run, next->call, [&queue] { queue.OnDone(); });
 //   }
 #ifndef BEAMHILL_EXECUTOR_CALL_QUEUE_H_
 #define BEAMHILL_EXECUTOR_CALL_QUEUE_H_
@@ -37,8 +36,8 @@
 
   explicit CallQueue(size_t max_in_flight) : max_in_flight_(max_in_flight) {}
 
-  // Behind all others. A call that waits for the same run is replaced and
-  // keeps its turn.
+  // Appends a call. If one for the same run is queued already, replaces that
+  // one, which keeps its position and its queueing time.
   void Push(const RunRef& run, Call call, TimePoint now) {
     const auto it = by_run_.find(run);
     if (it != by_run_.end()) {
@@ -49,23 +48,25 @@
     by_run_[run] = std::prev(waiting_.end());
   }
 
-  // The next call that may leave now; it is open until OnDone.
+  // Takes out the next call, which is in flight until OnDone; nullopt if the
+  // queue is empty or the limit on calls in flight is reached.
   std::optional<Entry> TakeNext() {
     if (waiting_.empty() || in_flight_ >= max_in_flight_) return std::nullopt;
     ++in_flight_;
     return Remove(waiting_.begin());
   }
-  // An open call was answered or given up, or was not made after all.
+  // Must be called once for each call taken out, after it was answered, given
+  // up or not made at all.
   void OnDone() { --in_flight_; }
 
-  // Whether a call for the run waited; it does no more.
+  // Removes the queued call for the run; returns whether there was one.
   bool Withdraw(const RunRef& run) {
     const auto it = by_run_.find(run);
     if (it == by_run_.end()) return false;
     Remove(it->second);
     return true;
   }
-  // Takes out all waiting calls of which `stale` holds.
+  // Removes and returns all queued calls for which `stale` holds.
   std::vector<Entry> WithdrawIf(
       const std::function<bool(const Entry&)>& stale) {
     std::vector<Entry> taken;
@@ -75,14 +76,14 @@
     }
     return taken;
   }
-  // Withdraws all that waits; open calls stay open.
+  // Removes all queued calls; calls in flight still count towards the limit.
   void Clear() {
     waiting_.clear();
     by_run_.clear();
   }
 
   size_t waiting() const { return waiting_.size(); }
-  // How long the one that comes next has waited.
+  // How long the first queued call has waited; zero if none is queued.
   Duration OldestWait(TimePoint now) const {
     return waiting_.empty() ? Duration(0) : now - waiting_.front().queued_at;
   }
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -7,17 +7,17 @@
 namespace beamhill {
 namespace {
 
-// The runner's clock may be slow by 2 %: a lease is given to it that much
-// shorter.
+// The runner's clock may be slow by 2 %, so a lease is passed on to it
+// shortened by as much.
 constexpr int64_t kClockErrorPermille = 20;
 
-// Lives that are remembered, to know late registrations of them: these are
-// seconds late, and a runner takes longer to come back.
+// Number of earlier incarnations kept to recognize their delayed registrations.
+// Those arrive seconds late, and a runner takes longer than that to restart.
 constexpr size_t kMaxEarlierIncarnations = 16;
 
-// Past lives are told to each owner that attaches for so long: an owner that
-// takes over as a runner goes down must hear what its predecessor would have.
-// Later ones have what was stored.
+// How long past incarnations are reported to each owner that attaches: one that
+// takes over while a runner fails needs what its predecessor would have been
+// told. Owners that attach later find it in the table.
 constexpr Duration kPastIncarnationRetention = std::chrono::seconds(30);
 constexpr size_t kMaxPastIncarnations = 16;
 
@@ -55,8 +55,8 @@
 std::optional<RunnerClock> Executor::LeaseEndForRunner() const {
   const TimePoint now = hooks_.now();
   if (!clock_known_ || lease_end_ <= now) return std::nullopt;
-  // The reading was taken no later than it arrived here, so this end is not
-  // later than the granted one.
+  // The clock was read before its reading arrived here, so the computed end is
+  // not later than the granted one.
   const Duration ahead =
       std::min(lease_end_ - clock_at_, now - clock_at_ + options_.max_lease);
   const Duration safe = ahead * (1000 - kClockErrorPermille) / 1000;
@@ -69,7 +69,8 @@
   PastLife past = incarnation_record_.Describe(status_.life, IsLeaving());
   if (!past_incarnations_.empty() &&
       past_incarnations_.back().second.life == past.life) {
-    // Given up as silent before; it may have answered and begun more since.
+    // Recorded before, when it was silent; it may since have answered and begun
+    // more runs.
     const bool same =
         past_incarnations_.back().second.just_begun == past.just_begun;
     past_incarnations_.pop_back();
@@ -82,9 +83,9 @@
     past_incarnations_.pop_front();
   if (past.announced) return;
   ++counts_.runners_lost;
-  const auto silent = static_cast<int64_t>(ToMillis(now - last_answer_));
+  const auto silent_ms = static_cast<int64_t>(ToMillis(now - last_answer_));
   hooks_.log("runner_lost", "",
-             past.life + ", last heard " + std::to_string(silent) +
+             past.life + ", last heard " + std::to_string(silent_ms) +
                  " ms ago; had just begun: " + RunNames(past.just_begun));
 }
 
@@ -130,7 +131,7 @@
                                   std::optional<RunnerClock> clock) {
   if (IsEarlierIncarnation(status.life) && !other_incarnation_answers_) {
     hooks_.log("late_registration", "",
-               status.life + " was followed by " + status_.life);
+               status.life + " was replaced by " + status_.life);
     return;
   }
   const bool new_incarnation = status.life != status_.life;
@@ -157,8 +158,7 @@
     last_answer_ = hooks_.now();
   }
   status_ = status;
-  // A reading that comes with a registration may have waited on its way: it
-  // only makes leases shorter.
+  // The reading in a delayed registration is old, which only shortens leases.
   if (!clock_known_) NoteClock(clock);
   if (changed) SendToOwner(status_);
   if (new_incarnation) PollSoon();
@@ -187,9 +187,8 @@
     if (IsCurrent(link, starts->epoch, starts->life)) OnStartRuns(*starts);
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     if (IsCurrent(link, stops->epoch, stops->life)) OnStopRuns(*stops);
-  } else if (const auto* settled = std::get_if<EndsSettled>(&message)) {
-    if (IsCurrent(link, settled->epoch, settled->life))
-      OnEndsAcknowledged(*settled);
+  } else if (const auto* acks = std::get_if<EndsSettled>(&message)) {
+    if (IsCurrent(link, acks->epoch, acks->life)) OnEndsAcknowledged(*acks);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
     if (IsCurrent(link, traits->epoch, traits->life)) OnRunTraits(*traits);
   } else if (const auto* learned = std::get_if<PressureWeights>(&message)) {
@@ -211,10 +210,10 @@
   }
   if (attach.epoch > epoch_) {
     hooks_.log("owner_attached", "", "epoch " + std::to_string(attach.epoch));
-    // Calls that have left under the earlier epoch are refused once the runner
-    // has seen this one, and the inventory is asked for under this one. What
-    // waits must not leave: a runner may check no epochs. Paces are of this
-    // process's own making and go on.
+    // Once the runner has seen this epoch, which it does with the poll for the
+    // inventory, it refuses calls sent under an earlier one. Queued starts and
+    // stops are dropped here because a runner may not check epochs. Pace orders
+    // originate in this process and stay valid.
     DropOrders();
     epoch_ = attach.epoch;
   }
@@ -236,7 +235,7 @@
 void Executor::PollLeavingRunner(TimePoint now) {
   if (!leaving_since_ || now - *leaving_since_ < options_.leave_poll_delay)
     return;
-  if (epoch_ == 0) {  // Nobody has asked for anything, and no look can be made.
+  if (epoch_ == 0) {  // Without an owner there is no epoch to poll under.
     ForgetDepartedRunner();
     return;
   }
@@ -253,7 +252,8 @@
     ForgetDepartedRunner();
     return;
   }
-  hooks_.log("runner_stays", "", status_.life + " answers though it has left");
+  hooks_.log("runner_stays", "",
+             status_.life + " still answers after announcing its exit");
   leaving_since_.reset();
   if (status_.draining) leaving_since_ = hooks_.now();
 }
@@ -264,7 +264,7 @@
   ResetIncarnation();
   status_ = VmStatus();
   runner_is_gone_ = true;
-  // Without a runner there is nothing to look at.
+  // No poll follows without a runner, so the owner is told now.
   if (owner_link_) SendEmptyInventory();
 }
 
@@ -272,7 +272,7 @@
   if (!owner_link_ || !inventory_wanted_ || empty_inventory_sent_) return;
   if (!AllLeasesExpired(now)) return;
   hooks_.log("runner_silent", "",
-             status_.life + ": every lease that it was given is over");
+             status_.life + ": every lease granted to it has expired");
   empty_inventory_sent_ = true;
   RecordPastIncarnation();
   DropOrders();
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -1,16 +1,18 @@
-// Carries out the owner's orders on one VM's runner and reports what becomes
-// of them.
+// Carries out the owner's orders on the runner of one VM and reports their
+// outcomes to the owner.
 //
-// It decides nothing about what runs. Its own matters are: obey the highest
-// epoch only; extend the runner's lease no further than the owner has granted;
-// let no order leave that has become wrong while it waited for its turn; find
-// out what became of calls without an answer; keep serving tasks under their
-// targets by pacing the fillers beside them.
+// The owner decides what runs. The executor
+//  - obeys only the owner with the highest epoch;
+//  - extends the runner's lease no further than the owner has granted;
+//  - discards orders that became invalid while they were queued;
+//  - determines the outcome of calls that got no answer;
+//  - keeps serving tasks within their latency targets by pacing the best-effort
+//    tasks on the same VM.
 //
 //   Executor executor(options, runner, hooks);
-//   executor.OnRunnerRegistered(status, clock);           // the runner's
-//   registration executor.OnMessage(link, message);          // from an owner
-//   executor.Tick();                            // every 100 ms
+//   executor.OnRunnerRegistered(status, clock);  // on each registration
+//   executor.OnMessage(link, message);           // from an owner
+//   executor.Tick();                             // every 100 ms
 #ifndef BEAMHILL_EXECUTOR_EXECUTOR_H_
 #define BEAMHILL_EXECUTOR_EXECUTOR_H_
 
@@ -36,24 +38,24 @@
 
 struct ExecutorOptions {
   Duration heartbeat_interval = std::chrono::milliseconds(500);
-  // The longest lease that the runner takes.
+  // The longest lease that the runner accepts.
   Duration max_lease = std::chrono::seconds(6);
-  // Without an answer for so long the runner counts as out of reach, and no
-  // more leases are asked for.
+  // A runner that has answered no call for this long counts as unreachable, and
+  // no further leases are requested for it.
   Duration runner_unreachable_after = std::chrono::milliseconds(1500);
-  // Added to the end of a lease before it is believed to be over.
+  // Added to the end of a lease before the lease counts as expired.
   Duration lease_margin = std::chrono::milliseconds(500);
-  // For how long a serving task may be over its target through fillers until
-  // users count it as harmed.
+  // How long interference by best-effort tasks may keep a serving task over its
+  // target before users count it as harmed.
   Duration harm_after = kDefaultHarmAfter;
-  // After a runner says that it ends, its tasks may live on for so long. Then
-  // it is asked whether it has.
+  // How long after a runner announced its exit it is polled to find out whether
+  // it has exited: until then its tasks may still be running.
   Duration leave_poll_delay = std::chrono::milliseconds(600);
 };
 
 struct ExecutorHooks {
   std::function<TimePoint()> now;
-  // To the link that the current owner attached on.
+  // Sends a message on the link on which the current owner attached.
   std::function<void(uint64_t link, const DispatchMessage& message)> send;
   std::function<void(const std::string& event, const std::string& task,
                      const std::string& detail)>
@@ -61,18 +63,18 @@
 };
 
 struct ExecutorCounts {
-  uint64_t starts = 0;
-  uint64_t refused = 0;
-  uint64_t unanswered = 0;
-  uint64_t polls = 0;
-  uint64_t paces = 0;
-  uint64_t stale_orders = 0;
-  uint64_t withdrawn = 0;  // Starts that never left, for a stop came first.
-  uint64_t outdated = 0;   // Starts that could not leave in time.
-  uint64_t runners_lost = 0;
-  uint64_t stops = 0;          // Stops asked of the runner.
-  uint64_t stops_overdue = 0;  // Ordered stops that took too long.
-  // Stops asked once more since the runner took one and the run went on.
+  uint64_t starts = 0;         // Start calls sent to the runner.
+  uint64_t refused = 0;        // Start calls that the runner refused.
+  uint64_t unanswered = 0;     // Start calls that got no answer.
+  uint64_t polls = 0;          // Polls sent to the runner.
+  uint64_t paces = 0;          // Pace calls sent to the runner.
+  uint64_t stale_orders = 0;   // From an earlier owner, link or incarnation.
+  uint64_t withdrawn = 0;      // Starts stopped before they were sent.
+  uint64_t outdated = 0;       // Starts that could not be sent in time.
+  uint64_t runners_lost = 0;   // Incarnations that ended unannounced.
+  uint64_t stops = 0;          // Stop calls sent to the runner.
+  uint64_t stops_overdue = 0;  // Stops not completed within kCancelLimit.
+  // Stops sent again because the run continued after the runner accepted one.
   uint64_t stops_ineffective = 0;
 };
 
@@ -81,12 +83,12 @@
   Executor(const ExecutorOptions& options, TaskRunner runner,
            ExecutorHooks hooks);
 
-  // The runner has registered or renewed its registration. One of an earlier
-  // life, which was long on its way, changes nothing; which of two is the
-  // earlier one is settled by who answers looks.
+  // Handles the runner's registration or its renewal. A delayed registration of
+  // an earlier incarnation is ignored, unless polls show that the incarnation
+  // that registered last is not the one that answers.
   void OnRunnerRegistered(const VmStatus& status,
                           std::optional<RunnerClock> clock);
-  // The runner of that life has said that it ends now.
+  // Handles the announcement of this incarnation that it is about to exit.
   void OnRunnerLeaving(const std::string& incarnation);
 
   void OnMessage(uint64_t link, const DispatchMessage& message);
@@ -95,40 +97,40 @@
 
   uint64_t epoch() const { return epoch_; }
   bool owned() const { return owner_link_.has_value(); }
-  // Whether its runner has said that it ends, and its tasks are gone.
+  // Whether the runner has announced its exit and has since been found gone.
   bool runner_is_gone() const { return runner_is_gone_; }
-  // How long ago the owner that is obeyed last said anything, or this process
-  // began. It says something each second or two, also while there is no runner
-  // to give leases to.
+  // Time since the last message of the current owner, or since the start of
+  // this process if there was none. An owner sends one every second or two,
+  // even while there is no runner to grant leases to.
   Duration SinceOwner() const { return hooks_.now() - owner_heard_at_; }
   const ExecutorCounts& counts() const { return counts_; }
   const VmStatus& status() const { return status_; }
-  // Starts that wait for their turn at the runner.
+  // Number of starts that are queued for the runner.
   size_t starts_waiting() const { return start_queue_.waiting(); }
-  // For how long the oldest stop that an owner has ordered is not settled; zero
-  // without any.
+  // Age of the oldest ordered stop whose outcome is still open; zero if there
+  // is none.
   Duration OldestStop() const;
   std::string Dump() const;
 
  private:
   enum class Phase : uint8_t {
-    kWaiting,    // The start has not left; it can't have taken effect.
-    kStarting,   // The start has left, and its answer is not in.
-    kUncertain,  // It got no answer; a look will tell.
-    kStopping,   // A stop waits, is open or is to be sent.
-    kStopped,    // The runner took the stop; looks tell what it did.
+    kWaiting,    // The start is queued, so it can't have taken effect.
+    kStarting,   // The start was sent and has not been answered yet.
+    kUncertain,  // The start got no answer; a poll will show its outcome.
+    kStopping,   // A stop is queued, in flight or due for a retry.
+    kStopped,    // The runner accepted the stop; polls show its effect.
   };
   struct Order {
     Phase phase = Phase::kWaiting;
-    TimePoint phase_began_at{};  // When the phase began; a later look decides.
-    // A stop waits for its turn or its answer.
-    bool stop_pending = false;
+    // Only polls sent after this decide on the outcome.
+    TimePoint phase_began_at{};
+    bool stop_pending = false;  // A stop is queued or in flight.
     bool report_begin = false;
     TimePoint retry_at{};
     std::optional<TimePoint> stop_ordered_at;
-    bool overdue_logged = false;  // The stop, and this is logged.
+    bool overdue_logged = false;
   };
-  // What is kept of a call while it waits; the rest is added as it leaves.
+  // The parts of a queued call; the others are added when it is sent.
   struct PendingStart {
     std::string payload;
     std::string checkpoint;
@@ -139,51 +141,52 @@
   struct PendingPace {
     int percent = kFullPacePercent;
   };
-  // For whom a call was made: its answer means nothing to anyone later.
+  // The owner's epoch and the runner incarnation that a call was made for. Its
+  // answer is ignored once either has changed.
   struct CallContext {
     uint64_t epoch = 0;
     std::string incarnation;
   };
   struct PacedRun {
     TaskTraits traits;
-    // As last ordered; unknown after an order without an answer, and of a run
-    // that an earlier run of this process has paced.
+    // The pace last ordered; kUnknownPercent after an order without an answer,
+    // and for a run that an earlier incarnation of this process may have paced.
     int percent = kFullPacePercent;
     TimePoint ordered_at{};
-    bool answered = true;           // The last order is.
-    uint64_t last_sent_number = 0;  // Number of the last order that left.
+    bool answered = true;           // Whether the last order was answered.
+    uint64_t last_sent_number = 0;  // Number of the last order sent.
   };
 
   void OnAttach(uint64_t link, const Attach& attach);
   void OnRenew(const RenewLease& renew);
-  // Whether it comes from the owner that is obeyed, and concerns the runner's
-  // present life; counts those that don't.
+  // Whether an order comes from the current owner and is meant for the runner's
+  // current incarnation. Counts the orders that are not.
   bool IsCurrent(uint64_t link, uint64_t epoch, const std::string& incarnation);
-  // Whether a later life has registered since.
+  // Whether another incarnation has registered after this one.
   bool IsEarlierIncarnation(const std::string& incarnation) const;
   void NoteEarlierIncarnation(const std::string& incarnation);
-  // Whether the runner's last life has said that it leaves.
+  // Whether the current incarnation has announced its exit or is draining.
   bool IsLeaving() const { return leaving_since_ || status_.draining; }
-  // The runner's last life is over, or was silent past its leases. Keeps what
-  // was seen of it for owners.
+  // Records what is known of the current incarnation for owners, after it ended
+  // or stayed silent beyond its leases.
   void RecordPastIncarnation();
   void ForgetPastIncarnations(TimePoint now);
-  // Forgets the starts and stops that wait or are open.
+  // Forgets all starts and stops, queued or in flight.
   void DropOrders();
-  // Forgets all that belongs to one life of the runner.
+  // Clears all state that belongs to one incarnation of the runner.
   void ResetIncarnation();
   void NoteClock(const std::optional<RunnerClock>& clock);
-  // The end of the granted lease by the runner's clock; nothing without a
+  // End of the granted lease by the runner's clock; nullopt without a valid
   // lease or a reading of that clock.
   std::optional<RunnerClock> LeaseEndForRunner() const;
   void SendToOwner(const DispatchMessage& message);
-  // Some time after a runner said that it ends: asks whether it has.
+  // Polls a runner that announced its exit, after `leave_poll_delay`.
   void PollLeavingRunner(TimePoint now);
-  // What a look shows of that. The word may have been that of an earlier start
-  // of the runner, held up on its way.
+  // Handles the result of that poll. A runner that answers has not exited: the
+  // announcement may have been a delayed one of an earlier incarnation.
   void OnLeavingRunnerPolled(RunnerVerdict verdict, TimePoint sent_at);
   void ForgetDepartedRunner();
-  // Tells the owner that nothing runs, once every lease is over.
+  // Reports an empty inventory once every lease of a silent runner has expired.
   void GiveUpSilentRunner(TimePoint now);
   void SendHeartbeat(TimePoint now);
 
@@ -192,15 +195,17 @@
   void OnStopRuns(const StopRuns& stops);
   void QueueStart(const StartRuns& starts, const RunRef& run,
                   const StartRun& start);
-  // Lets waiting starts leave, as far as the runner takes them.
+  // Sends queued starts as far as the limit on calls in flight allows.
   void SendStarts();
-  // Whether the start has left. If it must not any more, its owner is told.
+  // Sends the start and returns true, or reports to the owner that the run does
+  // not begin if the start is no longer valid.
   bool SendStart(const RunRef& run, const PendingStart& start);
-  // Gives back starts that can't leave in time, for another VM to run.
+  // Returns queued starts past their latest start time to the owner, which can
+  // place them on another VM.
   void DropOutdatedStarts(TimePoint now);
   void OnStartReply(const RunRef& run, TimePoint sent_at,
                     const RunnerReply& reply);
-  // The owner may say it any number of times: what is under way goes on.
+  // Idempotent: a repeated order leaves a stop in progress unchanged.
   void RequestStop(const RunRef& run);
   void QueueStop(const RunRef& run, Order& order);
   void SendStops();
@@ -211,35 +216,39 @@
   bool IsCurrentContext(const CallContext& context) const {
     return context.epoch == epoch_ && context.incarnation == status_.life;
   }
-  // The runner has begun the run: tells the owner, if it wants to hear that.
+  // Handles a run that has begun: reports it if the owner asked for that.
   void OnBegun(const RunRef& run);
   void ReportBegin(const RunRef& run);
-  // Tells the owner that the run never begins.
+  // Reports to the owner that the run will never begin.
   void ReportNotBegun(const RunRef& run, NotBegunReason reason);
-  // What a look that was sent after a call shows is what became of the call.
+  // Determines outcomes of earlier calls from a poll that was sent after them.
   void ResolveOrders(const RunnerView& view, TimePoint sent_at);
-  // The runner has taken a stop; a look that was sent then shows the run.
+  // Handles a run that a later poll still lists although the runner accepted
+  // its stop.
   void OnRunStillRunning(const RunRef& run, Order& order, TimePoint sent_at);
 
   // In executor_polling.cc.
-  void OnEndsAcknowledged(const EndsSettled& settled);
-  // Asks the runner what it holds; it may wait so long for an end.
+  void OnEndsAcknowledged(const EndsSettled& acknowledged);
+  // Asks the runner for its state. The runner delays its answer by up to `wait`
+  // until it has an end to list.
   void PollRunner(std::chrono::milliseconds wait);
-  // Looks at once, unless too many looks are open; returns whether it does.
+  // Polls at once and returns true, unless too many polls are in flight; in
+  // that case the next poll is due immediately.
   bool PollSoon();
   void PollIfDue(TimePoint now);
   std::chrono::milliseconds NextPollWait() const;
   void OnPollReply(RunnerView view, TimePoint sent_at, uint64_t epoch,
                    const std::string& incarnation);
-  // The next registration is that of the life that answers, whichever it is.
+  // Notes that an incarnation other than the one registered last answers, so
+  // that the next registration is accepted whichever incarnation it names.
   void NoteOtherIncarnation();
   void ReportEnds(const RunnerView& view);
   void SendInventory(const RunnerView& view);
   void SendEmptyInventory();
   void AddPastIncarnations(VmInventory& inventory) const;
-  // Whether nothing can run on the VM any more, though its runner does not
-  // answer: only this process calls it, and every lease that it or an earlier
-  // run of it can have given has run out.
+  // Whether nothing can be running on the VM although its runner does not
+  // answer. Only this process grants the runner leases, so that holds once
+  // every lease granted by it or by an earlier incarnation of it has expired.
   bool AllLeasesExpired(TimePoint now) const;
 
   // In executor_pacing.cc.
@@ -247,33 +256,35 @@
   void OnInterferenceWeights(const PressureWeights& learned);
   void OnPacePolicy(const PacePolicyNotice& notice);
   void UpdatePaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
-  // Finds fillers that work though they were ordered to rest, or the reverse:
-  // an order may be lost, or be carried out after a newer one.
+  // Detects best-effort runs that are active although paused, or the reverse:
+  // an order may be lost, or take effect after a newer one. Their paces are
+  // then unknown and are ordered again.
   void CheckPaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
-  // What a look shows of the tasks that pacing heeds.
+  // The part of a poll's answer that pacing depends on.
   struct PacingView {
     std::vector<ServingSample> serving;
     Pacer::BestEffortShares best_effort;
     std::vector<RunRef> best_effort_runs;
-    bool best_effort_active = false;  // Some filler uses processors.
-    // Processor time that is left for fillers.
-    int64_t free_cpu_millis = 0;
+    bool best_effort_active = false;  // Some best-effort run uses CPU.
+    int64_t free_cpu_millis = 0;      // Available to best-effort runs.
   };
   PacingView ViewForPacing(const RunnerView& view) const;
-  // Gives fillers their paces, in their order: each gets what its image may
-  // still use of the disturbance that serving tasks bear, and what is left of
-  // the processors. The last ones rest rather than slow the first.
+  // Assigns paces in order of best-effort rank. Each run gets a minimum share
+  // and then what it asks for, as far as the pace of its image and the
+  // remaining CPU allow; so a shortage slows the last ranks and not the first.
   void AssignPaces(std::vector<RunRef> best_effort_runs,
                    int64_t free_cpu_millis);
-  // Holds a filler that has just begun to the pace that its image has here: it
-  // begins at full speed, and the next look is up to a quarter of a second off.
+  // Applies the pace of its image to a best-effort run that has just begun. It
+  // begins at full pace, and the next poll may be a quarter of a second away.
   void PaceNewBestEffortRun(const RunRef& run);
   void OrderPace(const RunRef& run, int percent);
   void SendPaces();
-  // `number` is that of the order, in the order in which they left.
+  // `number` counts pace orders in the sequence in which they were sent.
   void OnPaceReply(const RunRef& run, uint64_t number,
                    const RunnerReply& reply);
-  // One tail for each serving image, the worst: its tasks on a VM share fate.
+  // Sends the owner the worst tail latency of each serving image, since tasks
+  // of one image on a VM are affected alike, and the CPU use of best-effort
+  // images.
   void ReportInterference(const std::vector<ServingSample>& serving,
                           const Pacer::BestEffortShares& best_effort,
                           TimePoint now);
@@ -285,45 +296,46 @@
   uint64_t epoch_ = 0;
   std::optional<uint64_t> owner_link_;
   bool inventory_wanted_ = false;
-  // A look that was sent earlier may not show what became of some order that
-  // is forgotten by now.
+  // An inventory is built only from a poll sent at or after this time: an
+  // earlier one may lack the outcome of an order that is no longer kept.
   TimePoint inventory_after_{};
-  bool empty_inventory_sent_ =
-      false;  // In this attachment, for want of an answer.
+  // For a silent runner, since the owner last attached.
+  bool empty_inventory_sent_ = false;
   TimePoint started_at_{};
   TimePoint owner_heard_at_{};
   TimePoint lease_end_{};
   TimePoint last_heartbeat_{};
 
   VmStatus status_;
-  // Lives of the runner that a later one has followed, the newest last.
+  // Incarnations of the runner before the current one, newest last.
   std::deque<std::string> earlier_incarnations_;
-  // Another life answers at the runner's address than the one that registered
-  // last.
+  // An incarnation other than the one registered last answers at the runner's
+  // address.
   bool other_incarnation_answers_ = false;
   std::optional<TimePoint> leaving_since_;
   std::optional<TimePoint> leave_polled_at_;
   bool runner_is_gone_ = false;
-  RunnerClock clock_{};  // The runner's reading at `clock_at_`.
+  RunnerClock clock_{};  // Reading of the runner's clock at `clock_at_`.
   TimePoint clock_at_{};
   bool clock_known_ = false;
-  TimePoint last_answer_{};  // Of the runner, to any call.
+  TimePoint last_answer_{};  // Of the current incarnation, to any call.
 
   std::map<RunRef, Order> orders_;
   CallQueue<PendingStart> start_queue_;
   CallQueue<PendingStop> stop_queue_;
   CallQueue<PendingPace> pace_queue_;
   IncarnationRecord incarnation_record_;
-  // Lives that ended of late, the newest last, and when each did.
+  // Incarnations that ended recently and when they did, newest last.
   std::deque<std::pair<TimePoint, PastLife>> past_incarnations_;
   std::map<RunRef, PacedRun> paced_;
   Pacer pacer_;
   PacePolicy pace_policy_ = PacePolicy::kCautious;
   TimePoint interference_reported_at_{};
-  bool idle_reported_ = false;  // On this link: nothing is paced any more.
-  uint64_t acknowledged_through_ = 0;  // Ends that may be forgotten.
+  // Whether this link was told that no run is paced any more.
+  bool idle_reported_ = false;
+  uint64_t acknowledged_through_ = 0;  // Highest end the runner may forget.
   uint64_t highest_end_listed_ = 0;
-  uint64_t reported_through_ = 0;  // Ends up to here were sent on this link.
+  uint64_t reported_through_ = 0;  // Highest end sent on this link.
   TimePoint reported_at_{};
   int polls_in_flight_ = 0;
   bool long_poll_in_flight_ = false;
--- a/beamhill/executor/executor_orders.cc
+++ b/beamhill/executor/executor_orders.cc
@@ -1,5 +1,5 @@
-// The part of Executor that carries out an owner's starts and stops, and finds
-// out what became of calls without an answer.
+// The part of Executor that carries out an owner's starts and stops and
+// determines the outcome of calls that got no answer.
 #include <algorithm>
 #include <set>
 #include <string>
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr Duration kStopRetryInterval = std::chrono::milliseconds(300);
-// A run that a look shows so long after its runner took the stop is stopped
-// again: runners take 0.4 s at most to carry one out.
+// A run that is still listed this long after the runner accepted its stop is
+// stopped again; runners need at most 0.4 s to carry a stop out.
 constexpr Duration kStopEffectTimeout = std::chrono::seconds(1);
-// A start that has waited so long for its turn is worth a line.
+// Starts that were queued at least this long are logged.
 constexpr Duration kLoggedStartWait = std::chrono::milliseconds(300);
 
 NotBegunReason ReasonForVerdict(RunnerVerdict verdict) {
@@ -28,7 +28,7 @@
     case RunnerVerdict::kNotAllowed:
       return NotBegunReason::kNotAllowed;
     case RunnerVerdict::kUnreachable:
-    case RunnerVerdict::kOtherIncarnation:  // Nobody is there who was meant.
+    case RunnerVerdict::kOtherIncarnation:  // The intended one is gone.
       return NotBegunReason::kUnreachable;
     default:
       return NotBegunReason::kUnhealthy;
@@ -39,8 +39,8 @@
   return std::to_string(static_cast<int64_t>(ToMillis(time)));
 }
 
-// Whether the runner has spoken, in the life that was meant. An answer of a
-// later one is no sign of it.
+// Whether the answer came from the incarnation that the call was meant for. An
+// answer of a later one does not show that the intended one is alive.
 bool IsFromIntendedIncarnation(RunnerVerdict verdict) {
   return verdict != RunnerVerdict::kNoAnswer &&
          verdict != RunnerVerdict::kUnreachable &&
@@ -77,16 +77,16 @@
     if (waited >= kLoggedStartWait) {
       hooks_.log("start_waited", next->run.task.ToString(),
                  "run " + std::to_string(next->run.run) + ": " +
-                     WholeMillisText(waited) + " ms, behind it " +
+                     WholeMillisText(waited) + " ms in the queue, behind it " +
                      std::to_string(start_queue_.waiting()));
     }
     if (!SendStart(next->run, next->call)) start_queue_.OnDone();
   }
 }
 
-// A stop withdraws a start that waits, a later owner or life of the runner
-// clears the lane; what is left to ask as it leaves is time, and whether its
-// runner leaves.
+// Stops withdraw queued starts, and a new owner or incarnation of the runner
+// clears the queue. So only the lease, the latest start time and whether the
+// runner is leaving remain to be checked.
 bool Executor::SendStart(const RunRef& run, const PendingStart& start) {
   const TimePoint now = hooks_.now();
   const std::optional<RunnerClock> lease_end = LeaseEndForRunner();
@@ -96,7 +96,7 @@
     return false;
   }
   ++counts_.starts;
-  incarnation_record_.OnAsked(run, now);
+  incarnation_record_.OnStartSent(run, now);
   Order& order = orders_[run];
   order.phase = Phase::kStarting;
   order.phase_began_at = now;
@@ -130,7 +130,8 @@
     incarnation_record_.OnAnswered(sent_at);
   }
   const auto it = orders_.find(run);
-  // A stop has overtaken it, and settles the run whatever became of the start.
+  // Once a stop was ordered, it decides on the run whatever the start's
+  // outcome.
   if (it == orders_.end() || it->second.phase != Phase::kStarting) return;
   Order& order = it->second;
   switch (reply.verdict) {
@@ -160,7 +161,7 @@
 
 void Executor::ReportBegin(const RunRef& run) {
   if (!orders_.at(run).report_begin) return;
-  // One of a workflow is enough.
+  // The owner needs only the first begin of a workflow.
   for (auto& [other, order] : orders_) {
     if (other.task.workflow == run.task.workflow) order.report_begin = false;
   }
@@ -194,8 +195,8 @@
   if (order.phase == Phase::kStopping || order.phase == Phase::kStopped) return;
   order.phase = Phase::kStopping;
   order.phase_began_at = hooks_.now();
-  // It need not wait for the answer to its start: the runner refuses a run that
-  // was stopped before it came.
+  // Sent without waiting for the answer to the start: the runner refuses to
+  // start a run that was stopped before.
   QueueStop(run, order);
 }
 
@@ -238,8 +239,8 @@
     hooks_.log("stop_overdue", run.task.ToString(),
                "run " + std::to_string(run.run) + ": ordered " +
                    WholeMillisText(age) + " ms ago, " +
-                   (order.phase == Phase::kStopped ? "the runner took it"
-                                                   : "not taken"));
+                   (order.phase == Phase::kStopped ? "the runner accepted it"
+                                                   : "not accepted"));
   }
 }
 
@@ -270,7 +271,7 @@
 
 void Executor::ResolveOrders(const RunnerView& view, TimePoint sent_at) {
   if (orders_.empty()) return;
-  // What has ended needs no stop any more, nor the answer to one.
+  // Runs that have ended need no stop, nor the answer to one.
   for (const RunEnd& end : view.ended) {
     orders_.erase(end.run);
     stop_queue_.Withdraw(end.run);
@@ -305,8 +306,9 @@
   if (age < kStopEffectTimeout) return;
   ++counts_.stops_ineffective;
   hooks_.log("stop_in_vain", run.task.ToString(),
-             "run " + std::to_string(run.run) + ": runs " +
-                 WholeMillisText(age) + " ms after the runner took the stop");
+             "run " + std::to_string(run.run) + ": still running " +
+                 WholeMillisText(age) +
+                 " ms after the runner accepted the stop");
   order.phase = Phase::kStopping;
   QueueStop(run, order);
 }
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -1,4 +1,4 @@
-// The part of Executor that paces fillers beside serving tasks.
+// The part of Executor that paces best-effort tasks beside serving tasks.
 #include <algorithm>
 #include <cstdlib>
 #include <map>
@@ -12,30 +12,29 @@
 namespace beamhill {
 namespace {
 
-// Changes of a filler's share below this are not worth a call.
+// Smaller changes of a pace are not sent to the runner.
 constexpr int kMinPaceChangePercent = 5;
-// Share of what serving tasks ask for that they use, on average over their
-// swings; from the workloads' sheets.
+// Share of their requested CPU that serving tasks use, averaged over their load
+// variations, as given by the workloads' descriptions.
 constexpr int64_t kServingUsePercent = 50;
-// The least share at which a filler works however many come before it, unless
-// its image is held lower for what it disturbs: so the last in the order get on
-// too. At an overcommitment of a quarter it takes 2 % of the processors.
+// Minimum pace of a best-effort run whatever its rank, so that the last ranks
+// make progress too; lower only where the pace of its image is lower because of
+// interference. At an overcommitment of 25 % it takes 2 % of the CPU.
 constexpr int64_t kMinSharePercent = 10;
-// What a filler works at after a pace order without an answer.
+// Stands for the pace of a run after a pace order without an answer.
 constexpr int kUnknownPercent = -1;
-// A pace order without an answer for so long is taken for lost: the runner is
-// on the same VM, and answers within some milliseconds.
+// A pace order counts as lost without an answer after this time. The runner is
+// on the same VM and usually answers within a few milliseconds.
 constexpr Duration kPaceReplyTimeout = std::chrono::milliseconds(200);
-// A look that is sent so long after a pace order shows what became of it: the
-// use that it tells is up to half a second old.
+// A poll sent this long after a pace order shows its effect: the CPU use that
+// it lists covers the last half second.
 constexpr Duration kPaceEffectDelay = std::chrono::milliseconds(550);
-// A filler that uses more than this part of what it asks for is at work; one
-// that was ordered to rest uses nothing.
+// A best-effort run that uses more than this share of its requested CPU counts
+// as active; a paused one uses none.
 constexpr int64_t kActiveUsePercent = 5;
-// One that was ordered this pace uses more than that, however short processors
-// are.
+// A run with at least this pace counts as active even when CPU is scarce.
 constexpr int kSurelyActivePacePercent = 50;
-// A sample covers half a second; more often would count it twice.
+// A sample covers half a second; a shorter interval would count it twice.
 constexpr Duration kInterferenceReportInterval = std::chrono::milliseconds(450);
 
 bool IsUsingCpu(const RunningRun& running, int64_t cpu_millis) {
@@ -54,48 +53,49 @@
 }
 
 Executor::PacingView Executor::ViewForPacing(const RunnerView& view) const {
-  PacingView seen;
-  seen.free_cpu_millis = status_.capacity.cpu_millis;
-  const auto whole =
+  PacingView state;
+  state.free_cpu_millis = status_.capacity.cpu_millis;
+  const auto vm_cpu_millis =
       static_cast<double>(std::max<int64_t>(status_.capacity.cpu_millis, 1));
   for (const RunningRun& running : view.running) {
     const auto it = paced_.find(running.run);
     if (it == paced_.end()) {
-      seen.free_cpu_millis -= running.measurement;
+      state.free_cpu_millis -= running.measurement;
       continue;
     }
     const TaskTraits& traits = it->second.traits;
     if (traits.fills) {
-      seen.best_effort_runs.push_back(running.run);
-      seen.best_effort_active =
-          seen.best_effort_active || IsUsingCpu(running, traits.cpu_millis);
-      Pacer::BestEffortShare& share = seen.best_effort[traits.image];
-      share.used += static_cast<double>(running.measurement) / whole;
-      share.asked += static_cast<double>(traits.cpu_millis) / whole;
+      state.best_effort_runs.push_back(running.run);
+      state.best_effort_active =
+          state.best_effort_active || IsUsingCpu(running, traits.cpu_millis);
+      Pacer::BestEffortShare& share = state.best_effort[traits.image];
+      share.used += static_cast<double>(running.measurement) / vm_cpu_millis;
+      share.requested += static_cast<double>(traits.cpu_millis) / vm_cpu_millis;
       continue;
     }
-    seen.free_cpu_millis -=
+    state.free_cpu_millis -=
         traits.cpu_millis * kServingUsePercent / kFullPacePercent;
     if (running.measurement > 0) {
-      seen.serving.push_back({traits.image,
-                              std::chrono::milliseconds(running.measurement),
-                              traits.tail_target});
+      state.serving.push_back({traits.image,
+                               std::chrono::milliseconds(running.measurement),
+                               traits.tail_target});
     }
   }
-  return seen;
+  return state;
 }
 
 void Executor::UpdatePaces(const RunnerView& view, TimePoint sent_at,
                            TimePoint now) {
-  const PacingView seen = ViewForPacing(view);
-  if (seen.serving.empty() && seen.best_effort_runs.empty()) {
+  const PacingView state = ViewForPacing(view);
+  if (state.serving.empty() && state.best_effort_runs.empty()) {
     if (!idle_reported_) ReportInterference({}, {}, now);
     return;
   }
-  pacer_.Observe(seen.serving, seen.best_effort, seen.best_effort_active, now);
+  pacer_.Observe(state.serving, state.best_effort, state.best_effort_active,
+                 now);
   CheckPaces(view, sent_at, now);
-  ReportInterference(seen.serving, seen.best_effort, now);
-  AssignPaces(seen.best_effort_runs, seen.free_cpu_millis);
+  ReportInterference(state.serving, state.best_effort, now);
+  AssignPaces(state.best_effort_runs, state.free_cpu_millis);
 }
 
 void Executor::CheckPaces(const RunnerView& view, TimePoint sent_at,
@@ -108,10 +108,10 @@
       paced.percent = kUnknownPercent;
     }
     if (sent_at - paced.ordered_at < kPaceEffectDelay) continue;
-    const bool works = IsUsingCpu(running, paced.traits.cpu_millis);
-    const bool ordered_to_rest = paced.percent == 0;
+    const bool active = IsUsingCpu(running, paced.traits.cpu_millis);
+    const bool ordered_to_pause = paced.percent == 0;
     const bool ordered_to_work = paced.percent >= kSurelyActivePacePercent;
-    if (works ? ordered_to_rest : ordered_to_work) {
+    if (active ? ordered_to_pause : ordered_to_work) {
       paced.percent = kUnknownPercent;
     }
   }
@@ -130,7 +130,7 @@
     return traits.cpu_millis * percent / kFullPacePercent;
   };
   std::map<std::string, int64_t>
-      allowed_cpu_millis;  // By image, beyond the least.
+      allowed_cpu_millis;  // By image, beyond the minimum.
   for (const RunRef& run : best_effort_runs) {
     const TaskTraits& traits = paced_.at(run).traits;
     allowed_cpu_millis[traits.image] += traits.cpu_millis *
@@ -142,19 +142,19 @@
   for (const RunRef& run : best_effort_runs) {
     const PacedRun& paced = paced_.at(run);
     const int64_t cpu = std::max<int64_t>(paced.traits.cpu_millis, 1);
-    const int64_t least = min_cpu_millis(paced.traits);
+    const int64_t minimum = min_cpu_millis(paced.traits);
     int64_t& allowed_for_image = allowed_cpu_millis[paced.traits.image];
-    const int64_t more = std::max<int64_t>(
-        std::min({cpu - least, allowed_for_image, free_cpu_millis}), 0);
-    allowed_for_image -= more;
-    free_cpu_millis -= more;
-    const int64_t granted = least + more;
+    const int64_t extra = std::max<int64_t>(
+        std::min({cpu - minimum, allowed_for_image, free_cpu_millis}), 0);
+    allowed_for_image -= extra;
+    free_cpu_millis -= extra;
+    const int64_t granted = minimum + extra;
     const auto percent = static_cast<int>(granted * kFullPacePercent / cpu);
     const int change = std::abs(paced.percent - percent);
-    const bool worth_it = change >= kMinPaceChangePercent || percent == 0 ||
-                          percent == kFullPacePercent ||
-                          paced.percent == kUnknownPercent;
-    if (change > 0 && worth_it) OrderPace(run, percent);
+    const bool send = change >= kMinPaceChangePercent || percent == 0 ||
+                      percent == kFullPacePercent ||
+                      paced.percent == kUnknownPercent;
+    if (change > 0 && send) OrderPace(run, percent);
   }
 }
 
@@ -178,7 +178,7 @@
   while (const auto next = pace_queue_.TakeNext()) {
     const RunRef& run = next->run;
     const auto it = paced_.find(run);
-    if (it == paced_.end()) {  // It has ended meanwhile.
+    if (it == paced_.end()) {  // The run has ended.
       pace_queue_.OnDone();
       continue;
     }
@@ -204,8 +204,8 @@
   PacedRun& paced = it->second;
   const bool newest = number == paced.last_sent_number;
   if (newest) paced.answered = true;
-  // Unknown what it works at: order it again. An older order may have been
-  // carried out after a newer one.
+  // The pace is unknown and is ordered again: the order failed, or an older
+  // order may have taken effect after a newer one.
   if (!newest || reply.verdict != RunnerVerdict::kDone) {
     paced.percent = kUnknownPercent;
   }
--- a/beamhill/executor/executor_polling.cc
+++ b/beamhill/executor/executor_polling.cc
@@ -1,5 +1,5 @@
-// The part of Executor that looks at what the runner holds, and tells the owner
-// what it sees.
+// The part of Executor that polls the runner for its state and reports to the
+// owner what the answers show.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -12,24 +12,25 @@
 
 using std::chrono::milliseconds;
 
-// How long a look waits for an end: short while pacing needs fresh figures, or
-// a stop is to take effect.
+// How long the runner may delay its answer to a poll until an end occurs: short
+// while pacing needs recent measurements or a stop is to take effect.
 constexpr milliseconds kShortPollWait{250};
 constexpr milliseconds kIdlePollWait{1000};
-// While ends wait to be settled a look returns at once, so it is repeated
-// only so often.
+// While ends are unacknowledged the runner answers every poll at once, so polls
+// are spaced by this interval.
 constexpr Duration kUnacknowledgedPollInterval = std::chrono::milliseconds(70);
 constexpr Duration kFailedPollInterval = std::chrono::milliseconds(250);
 constexpr int kMaxPollsInFlight = 2;
-// The first ends that are not settled are reported again this often: the report
-// may have been of no use to the owner, or its word that they are settled be
-// lost. Few at a time, since while the table is away none is settled and all
-// VMs report at once.
+// Unacknowledged ends are reported again at this interval, lowest numbers
+// first: the owner may have been unable to process the report, or its
+// acknowledgement may be lost. Their number is limited because no end is
+// acknowledged while the table is unavailable, and all VMs repeat theirs at
+// once.
 constexpr Duration kReportRepeatInterval = std::chrono::seconds(1);
 constexpr size_t kMaxRepeatedEnds = 8;
 
-// Looks may be answered in another order than they were sent, so this may be
-// less than what an earlier view listed.
+// Polls may be answered out of order, so the result may be lower than for an
+// answer handled before.
 uint64_t HighestEndNumber(const std::vector<RunEnd>& ends) {
   uint64_t highest = 0;
   for (const RunEnd& end : ends) highest = std::max(highest, end.number);
@@ -38,9 +39,9 @@
 
 }  // namespace
 
-void Executor::OnEndsAcknowledged(const EndsSettled& settled) {
-  if (settled.through <= acknowledged_through_) return;
-  acknowledged_through_ = settled.through;
+void Executor::OnEndsAcknowledged(const EndsSettled& acknowledged) {
+  if (acknowledged.through <= acknowledged_through_) return;
+  acknowledged_through_ = acknowledged.through;
   PollSoon();
 }
 
@@ -168,10 +169,11 @@
 }
 
 bool Executor::AllLeasesExpired(TimePoint now) const {
-  const TimePoint earlier_runs = started_at_ + options_.max_lease;
-  const TimePoint last = std::max(lease_end_, earlier_runs);
-  const bool silent = now - last_answer_ >= options_.runner_unreachable_after;
-  return silent && now >= last + options_.lease_margin;
+  const TimePoint earlier_leases_end = started_at_ + options_.max_lease;
+  const TimePoint last = std::max(lease_end_, earlier_leases_end);
+  const bool unreachable =
+      now - last_answer_ >= options_.runner_unreachable_after;
+  return unreachable && now >= last + options_.lease_margin;
 }
 
 void Executor::NoteOtherIncarnation() {
--- a/beamhill/executor/executor_process.cc
+++ b/beamhill/executor/executor_process.cc
@@ -58,41 +58,43 @@
       return static_cast<double>(executor->counts().*count);
     });
   };
-  gauge("beamhill_starts_total", "Starts asked of the runner.",
+  gauge("beamhill_starts_total", "Start calls sent to the runner.",
         &ExecutorCounts::starts);
-  gauge("beamhill_starts_refused_total", "Starts that the runner refused.",
+  gauge("beamhill_starts_refused_total", "Start calls that the runner refused.",
         &ExecutorCounts::refused);
-  gauge("beamhill_starts_unanswered_total", "Starts without an answer.",
+  gauge("beamhill_starts_unanswered_total", "Start calls that got no answer.",
         &ExecutorCounts::unanswered);
-  gauge("beamhill_looks_total", "Looks at the runner.", &ExecutorCounts::polls);
-  gauge("beamhill_paces_total", "Changes of fillers' pace.",
+  gauge("beamhill_looks_total", "Polls sent to the runner.",
+        &ExecutorCounts::polls);
+  gauge("beamhill_paces_total", "Changes to the pace of best-effort tasks.",
         &ExecutorCounts::paces);
   gauge("beamhill_stale_orders_total",
-        "Orders of an earlier owner, link or runner.",
+        "Orders ignored as from an earlier owner, link or runner incarnation.",
         &ExecutorCounts::stale_orders);
   gauge("beamhill_starts_withdrawn_total",
-        "Starts that a stop withdrew before they left for the runner.",
+        "Starts withdrawn by a stop before they were sent to the runner.",
         &ExecutorCounts::withdrawn);
   gauge("beamhill_starts_outdated_total",
-        "Starts given back since they could not leave in time.",
+        "Starts returned to the owner because they could not be sent in time.",
         &ExecutorCounts::outdated);
   metrics.AddGauge(
-      "beamhill_starts_waiting",
-      "Starts that wait for their turn at the runner.",
+      "beamhill_starts_waiting", "Starts queued for the runner.",
       [executor] { return static_cast<double>(executor->starts_waiting()); });
-  gauge("beamhill_stops_total", "Stops asked of the runner.",
+  gauge("beamhill_stops_total", "Stop calls sent to the runner.",
         &ExecutorCounts::stops);
-  gauge("beamhill_stops_overdue_total", "Ordered stops that took too long.",
+  gauge("beamhill_stops_overdue_total",
+        "Ordered stops that exceeded the time limit.",
         &ExecutorCounts::stops_overdue);
-  gauge("beamhill_stops_in_vain_total",
-        "Stops asked once more since the runner took one and the run went on.",
-        &ExecutorCounts::stops_ineffective);
-  metrics.AddGauge("beamhill_oldest_stop_seconds",
-                   "Since when an ordered stop is not settled.", [executor] {
-                     return ToMillis(executor->OldestStop()) / 1000;
-                   });
+  gauge(
+      "beamhill_stops_in_vain_total",
+      "Stops repeated because the run continued after the runner accepted one.",
+      &ExecutorCounts::stops_ineffective);
+  metrics.AddGauge(
+      "beamhill_oldest_stop_seconds",
+      "Age of the oldest ordered stop that is not completed.",
+      [executor] { return ToMillis(executor->OldestStop()) / 1000; });
   gauge("beamhill_runners_lost_total",
-        "Lives of the runner that ended unannounced.",
+        "Runner incarnations that ended unannounced.",
         &ExecutorCounts::runners_lost);
 }
 
--- a/beamhill/executor/executor_process.h
+++ b/beamhill/executor/executor_process.h
@@ -1,10 +1,9 @@
-// The executor as a process: links from owners, its own row in the table, and
-// the Executor between them and the runner.
+// Runs an Executor as a process: accepts links from owners, keeps the VM's row
+// in the table and exports metrics.
 //
 //   auto process =
 //       ExecutorProcess::Start(loop, settings, table, runner, metrics);
-//   ValueOf(process)->executor().OnRunnerRegistered(status, clock);  // by the
-//   adaptor
+//   ValueOf(process)->executor().OnRunnerRegistered(status, clock);
 #ifndef BEAMHILL_EXECUTOR_EXECUTOR_PROCESS_H_
 #define BEAMHILL_EXECUTOR_EXECUTOR_PROCESS_H_
 
@@ -27,20 +26,20 @@
 
 struct ExecutorSettings {
   std::string vm;  // The VM's name.
-  Address links;   // Where owners dial.
+  Address links;   // Address at which owners connect.
   ExecutorOptions executor;
 };
 
 class ExecutorProcess {
  public:
-  // Fails when it can't listen for owners.
+  // Starts the process; fails if it can't listen for owners.
   static Result<std::unique_ptr<ExecutorProcess>> Start(
       EventLoop& loop, const ExecutorSettings& settings, Table table,
       TaskRunner runner, Metrics& metrics);
 
   Executor& executor() { return *executor_; }
-  // Prepares the end of the process, then calls `done`. Where the runner has
-  // left, the VM's row goes: owners that come later need not wait for it.
+  // Prepares the exit of the process, then calls `done`. If the runner is gone,
+  // removes the VM's row, so that later owners don't wait for this VM.
   void Leave(std::function<void()> done);
   std::string Dump() const;
 
--- a/beamhill/executor/incarnation_record.cc
+++ b/beamhill/executor/incarnation_record.cc
@@ -8,20 +8,21 @@
 namespace beamhill {
 namespace {
 
-// Keeps a line well below the 4 KiB that a log line may have.
+// Keeps a log line well below its limit of 4 KiB.
 constexpr size_t kMaxNames = 12;
 
 }  // namespace
 
 void IncarnationRecord::OnAnswered(TimePoint sent_at) {
-  for (auto it = asked_.begin(); it != asked_.end();) {
-    it = sent_at - it->second > kCrashWindow ? asked_.erase(it) : std::next(it);
+  for (auto it = start_sent_at_.begin(); it != start_sent_at_.end();) {
+    it = sent_at - it->second > kCrashWindow ? start_sent_at_.erase(it)
+                                             : std::next(it);
   }
 }
 
 void IncarnationRecord::OnPollReply(RunnerView view, TimePoint sent_at) {
   OnAnswered(sent_at);
-  for (const RunEnd& end : view.ended) asked_.erase(end.run);
+  for (const RunEnd& end : view.ended) start_sent_at_.erase(end.run);
   last_view_ = std::move(view);
 }
 
@@ -31,9 +32,11 @@
   past.life = incarnation;
   past.announced = announced;
   past.ended = last_view_.ended;
-  for (const auto& [run, asked_at] : asked_) past.just_begun.push_back(run);
+  for (const auto& [run, sent_at] : start_sent_at_)
+    past.just_begun.push_back(run);
   for (const RunningRun& running : last_view_.running) {
-    if (asked_.count(running.run) == 0) past.others.push_back(running.run);
+    if (start_sent_at_.count(running.run) == 0)
+      past.others.push_back(running.run);
   }
   return past;
 }
--- a/beamhill/executor/incarnation_record.h
+++ b/beamhill/executor/incarnation_record.h
@@ -1,14 +1,14 @@
-// What an executor has seen of its runner's present life, to be told once that
-// life is over: ends that nobody has settled, and which runs may have taken the
-// runner down.
+// Records what an executor has observed of its runner's current incarnation, to
+// be reported once that incarnation is over: unacknowledged ends, and the runs
+// that may have crashed the runner.
 //
-// A task that takes its runner down does so as it starts. So of a runner that
-// is lost, only what had just begun when it was last heard is under suspicion.
+// A task that crashes its runner does so as it starts. So when a runner is
+// lost, only the runs that had just begun when it last answered are suspects.
 //
 //   IncarnationRecord record;
-//   record.OnAsked(run, now);         // A start is asked of the runner.
-//   record.OnPollReply(view, asked_at);    // The runner has answered a look.
-//   PastLife past = record.Describe("life-1", /*announced=*/false);
+//   record.OnStartSent(run, now);
+//   record.OnPollReply(view, sent_at);  // The runner answered a poll.
+//   PastLife past = record.Describe("vm-1/7", /*announced=*/false);
 #ifndef BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 #define BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 
@@ -24,24 +24,28 @@
 
 class IncarnationRecord {
  public:
-  void OnAsked(const RunRef& run, TimePoint now) { asked_[run] = now; }
-  void OnNeverBegun(const RunRef& run) { asked_.erase(run); }
-  // The runner has answered a call that was sent then, so what was asked of it
-  // kCrashWindow before that has not taken it down.
+  void OnStartSent(const RunRef& run, TimePoint now) {
+    start_sent_at_[run] = now;
+  }
+  void OnNeverBegun(const RunRef& run) { start_sent_at_.erase(run); }
+  // The runner answered a call that was sent at `sent_at`, so starts sent more
+  // than kCrashWindow before that have not crashed it.
   void OnAnswered(TimePoint sent_at);
-  // The same, with all that runs there and all ends that are not settled. The
-  // view is kept as it is, not copied: several come each second.
+  // Like OnAnswered, with the runs and unacknowledged ends listed by a poll.
+  // The view is moved and not copied, since several arrive each second.
   void OnPollReply(RunnerView view, TimePoint sent_at);
 
-  // `announced`: the runner had said that it leaves.
+  // Describes the incarnation to owners. `announced` tells whether it had
+  // announced its exit.
   PastLife Describe(const std::string& incarnation, bool announced) const;
 
  private:
-  std::map<RunRef, TimePoint> asked_;  // Within kCrashWindow.
+  // Starts sent at most kCrashWindow before the last call that was answered.
+  std::map<RunRef, TimePoint> start_sent_at_;
   RunnerView last_view_;
 };
 
-// The names of the runs for a log line, the first dozen of them.
+// Names the runs for a log line: the first 12, and the number of the others.
 std::string RunNames(const std::vector<RunRef>& runs);
 
 }  // namespace beamhill
--- a/beamhill/executor/latency_guard.cc
+++ b/beamhill/executor/latency_guard.cc
@@ -5,26 +5,27 @@
 namespace beamhill {
 namespace {
 
-// Tail over target above which time counts towards a rest. Below 1, since a
-// sample is an average over half a second, and rounded.
+// Ratio of tail to target above which a sample counts as an overrun. Below 1
+// because a sample is rounded and averaged over half a second.
 constexpr double kOverRatio = 0.95;
-// A rest ends when all tails are below this part of their targets; a tail
-// falls to half of itself in 0.3 s once fillers rest.
+// A pause ends once the ratios of all tails are below this. A tail halves
+// within 0.3 s once best-effort runs are paused.
 constexpr double kClearRatio = 0.9;
-// With up to a second by which a sample trails, and a third of one for a look
-// and the orders, fillers rest 3.3 s after the tail went up at the latest. No
-// longer where harm counts later: resting after 2.6 s earned no more.
+// An overrun of this length starts a pause. A sample lags by up to a second,
+// and a poll and the pace orders take a third of a second, so best-effort runs
+// are paused at most 3.3 s after the tail rose. Not longer where harm counts
+// later: pausing after 2.6 s brought no gain.
 constexpr Duration kMaxOverrun = std::chrono::milliseconds(2000);
-// Where harm counts sooner, this part of that time.
+// Where harm counts sooner, the time until harm is divided by this instead.
 constexpr int kHarmAfterDivisor = 2;
-// Counted, as the longest one, from when no filler is seen at work: so a tail
-// that is seen then is of the rest, or falls with it.
+// This and kMaxPause are timed from when no best-effort run was measured as
+// active, so that the tails measured then reflect the pause.
 constexpr Duration kMinPause = std::chrono::milliseconds(250);
-// A tail ten times its target has fallen below it 1.1 s after the fillers
-// stopped: one that is up after this is not up by their doing.
+// A tail of ten times its target falls below it within 1.1 s of the pause; one
+// that is still up after this time has another cause.
 constexpr Duration kMaxPause = std::chrono::milliseconds(1400);
-// An overrun has ended when no sample was over for so long: two samples, so
-// that a single one does not hide that it goes on.
+// An overrun ends after this time without a sample over the target. It covers
+// two samples, so that a single low one does not end an overrun.
 constexpr Duration kOverrunEndsAfter = std::chrono::milliseconds(550);
 
 }  // namespace
@@ -72,7 +73,7 @@
   if (paused_for < kMinPause || (!clear && paused_for < kMaxPause)) return;
   paused_ = false;
   last_pause_ineffective_ = !clear;
-  // The next overrun counts from its own beginning.
+  // Time before or during the pause does not count towards the next overrun.
   overruns_.clear();
 }
 
--- a/beamhill/executor/latency_guard.h
+++ b/beamhill/executor/latency_guard.h
@@ -1,16 +1,20 @@
-// Ends every long overrun of a serving task on one VM, whatever else decides
-// how fast fillers work there.
+// Bounds how long the serving tasks of one VM may exceed their latency targets,
+// independently of how the paces of best-effort tasks are chosen otherwise.
 //
-// Answers the load where batch work and services together want more than a VM
-// has for many seconds. Once a serving image has been over its target for two
-// seconds all fillers of the VM rest until no tail is near its target. It rests
-// on measurements alone: what is known of who disturbs whom may be wrong.
-// Users count harm after 4 s, or as the settings say: a sample trails its cause
-// by up to a second, a look and an order take a third of one.
+// It acts when best-effort and serving tasks together demand more than the VM
+// has for many seconds: once a serving image has been over its target for two
+// seconds, all best-effort tasks of the VM are paused until no tail is near its
+// target. It relies on measurements alone, since learned weights for the
+// interference between images may be wrong.
+//
+// Users count a task as harmed after 4 s over its target, unless the settings
+// say otherwise. Two seconds leave time for the delays: a sample lags behind
+// its cause by up to a second, a poll and a pace order take a third of a
+// second.
 //
 //   LatencyGuard guard;
 //   guard.Observe(serving, best_effort_active, now);
-//   if (guard.resting()) PaceAll(0);
+//   if (guard.paused()) PaceAll(0);
 #ifndef BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
 #define BEAMHILL_EXECUTOR_LATENCY_GUARD_H_
 
@@ -23,38 +27,40 @@
 
 namespace beamhill {
 
-// When users count harm, unless the settings say otherwise.
+// Time over its target after which users count a serving task as harmed, unless
+// the settings say otherwise.
 inline constexpr Duration kDefaultHarmAfter = std::chrono::seconds(4);
 
 class LatencyGuard {
  public:
-  // `harm_after`: for how long a task may be over its target until users count
-  // it as harmed.
+  // `harm_after` is the time over its target after which users count a task as
+  // harmed.
   explicit LatencyGuard(Duration harm_after = kDefaultHarmAfter);
 
-  // Takes in the newest samples of the VM, and whether some filler is seen at
-  // work: orders may be lost, so a rest counts only from when none is.
+  // Updates the state by the newest samples of the VM. `best_effort_active`
+  // tells whether any best-effort run was measured to use CPU: pace orders may
+  // be lost, so a pause is timed from when none does.
   void Observe(const std::vector<ServingSample>& serving,
                bool best_effort_active, TimePoint now);
 
-  // Whether all fillers of the VM are to rest.
+  // Whether all best-effort runs of the VM are to be paused.
   bool paused() const { return paused_; }
-  // Whether the last rest has ended by its time, with a tail still up: so the
-  // load is the service's own. Until the next rest, or until no tail is up.
+  // Whether the last pause timed out with a tail still near or over its target,
+  // so that the load is the service's own. Holds until the next pause begins or
+  // no serving image is over its target.
   bool last_pause_ineffective() const { return last_pause_ineffective_; }
 
  private:
-  // A serving image that is over its target, or close below it.
+  // A period in which a serving image is over its target or close below it.
   struct Overrun {
     TimePoint since{};
     TimePoint last_over{};
   };
 
   void UpdateOverruns(const std::vector<ServingSample>& serving, TimePoint now);
-  // For how long the one has lasted that has lasted longest.
   Duration LongestOverrun() const;
 
-  Duration pause_after_;                     // How long an overrun may last.
+  Duration pause_after_;                     // Overrun that starts a pause.
   std::map<std::string, Overrun> overruns_;  // By serving image.
   bool paused_ = false;
   bool last_pause_ineffective_ = false;
--- a/beamhill/executor/pacer.cc
+++ b/beamhill/executor/pacer.cc
@@ -5,29 +5,34 @@
 namespace beamhill {
 namespace {
 
-// Tail over target above which fillers are cut, and below which they get
-// more. The gap keeps the two from alternating.
+// Ratio of tail to target above which paces are reduced, and below which they
+// are increased. The gap prevents oscillation.
 constexpr double kReduceAboveRatio = 0.9;
 constexpr double kIncreaseBelowRatio = 0.8;
-// A measurement covers half a second, so a change shows fully only then.
+// Least time between changes. A measurement covers half a second, so the effect
+// of a change is fully visible only after that.
 constexpr Duration kReduceInterval = std::chrono::milliseconds(400);
 constexpr Duration kIncreaseInterval = std::chrono::milliseconds(300);
-constexpr int kIncreaseStepPercent = 12;
-// Below this share a filler is stopped altogether.
+constexpr int kStepPercent = 12;  // Of one increase.
+// Instead of a lower pace an image is paused.
 constexpr int kMinPacePercent = 8;
-// Part of the learned disturbance above which an image is a culprit.
+// An image that causes at least this fraction of the expected interference is
+// one of its main sources.
 constexpr double kMainSourceFraction = 0.2;
-// Known fillers that explain less than this part of the target are not taken
-// for the cause, for so long.
+// Expected interference below this fraction of the target does not explain a
+// high tail. The weights decide which paces are reduced for this long; after
+// that all images are reduced but those known to be harmless.
 constexpr double kExplainedFraction = 0.12;
 constexpr Duration kTrustWeightsFor = std::chrono::milliseconds(900);
-// An image is harmless if at this share of a VM it explains nothing.
+// An image is harmless if its interference at this share of a VM stays below
+// kExplainedFraction.
 constexpr double kTypicalShare = 0.2;
+// Factors by which a pace is reduced while a tail is over or near its target.
 constexpr double kOverTargetFactor = 0.35;
 constexpr double kNearTargetFactor = 0.65;
 
-// Those whose tails are near their targets or over them.
-std::vector<ServingSample> NearTarget(
+// Returns the samples whose tails are near or over their targets.
+std::vector<ServingSample> SamplesNearTarget(
     const std::vector<ServingSample>& serving) {
   std::vector<ServingSample> near;
   for (const ServingSample& sample : serving) {
@@ -39,7 +44,7 @@
 }  // namespace
 
 int Pacer::PacePercent(const std::string& image) const {
-  // An image that has come since the rest began rests as well.
+  // Images that appear during a pause are paused as well.
   if (guard_.paused()) return 0;
   const auto it = percents_.find(image);
   return it == percents_.end() ? kFullPacePercent : it->second;
@@ -78,11 +83,11 @@
   for (const ServingSample& sample : serving) {
     worst = std::max(worst, sample.ratio());
   }
-  const std::vector<ServingSample> over = NearTarget(serving);
-  if (!over.empty() && !near_target_) near_target_since_ = now;
-  near_target_ = !over.empty();
-  if (!over.empty() && now - reduced_at_ >= kReduceInterval) {
-    ReducePaces(over, best_effort, now - near_target_since_);
+  const std::vector<ServingSample> affected = SamplesNearTarget(serving);
+  if (!affected.empty() && !near_target_) near_target_since_ = now;
+  near_target_ = !affected.empty();
+  if (!affected.empty() && now - reduced_at_ >= kReduceInterval) {
+    ReducePaces(affected, best_effort, now - near_target_since_);
     reduced_at_ = now;
   } else if (worst < kIncreaseBelowRatio &&
              now - increased_at_ >= kIncreaseInterval &&
@@ -92,30 +97,32 @@
   }
 }
 
-// The tail is as high with all fillers at rest: it is the service's own load.
+// The tail stayed high while all best-effort runs were paused, so it is due to
+// the service's own load.
 void Pacer::RestoreHarmless(const std::vector<ServingSample>& serving,
                             const BestEffortShares& best_effort) {
-  const std::vector<ServingSample> over = NearTarget(serving);
+  const std::vector<ServingSample> affected = SamplesNearTarget(serving);
   for (const auto& [image, share] : best_effort) {
-    if (IsKnownHarmless(over, image)) percents_[image] = kFullPacePercent;
+    if (IsKnownHarmless(affected, image)) percents_[image] = kFullPacePercent;
   }
 }
 
-void Pacer::ReducePaces(const std::vector<ServingSample>& over,
+void Pacer::ReducePaces(const std::vector<ServingSample>& affected,
                         const BestEffortShares& best_effort,
                         Duration near_for) {
   if (near_for < kTrustWeightsFor) {
-    ReduceLikelySources(over, best_effort);
+    ReduceLikelySources(affected, best_effort);
     return;
   }
   for (const auto& [image, share] : best_effort) {
-    if (!IsKnownHarmless(over, image)) ReduceImage(image, kOverTargetFactor);
+    if (!IsKnownHarmless(affected, image))
+      ReduceImage(image, kOverTargetFactor);
   }
 }
 
-bool Pacer::IsKnownHarmless(const std::vector<ServingSample>& over,
+bool Pacer::IsKnownHarmless(const std::vector<ServingSample>& affected,
                             const std::string& image) const {
-  return std::all_of(over.begin(), over.end(), [&](const auto& sample) {
+  return std::all_of(affected.begin(), affected.end(), [&](const auto& sample) {
     const bool known = weights_.count({sample.image, image}) > 0;
     return known && WeightMillis(sample.image, image) * kTypicalShare <
                         kExplainedFraction * ToMillis(sample.target);
@@ -128,14 +135,14 @@
   percents_[image] = percent;
 }
 
-void Pacer::ReduceLikelySources(const std::vector<ServingSample>& over,
+void Pacer::ReduceLikelySources(const std::vector<ServingSample>& affected,
                                 const BestEffortShares& best_effort) {
   std::map<std::string, double> contribution;
   double total = 0;
   double worst = 0;
   double target = 0;
   bool known = false;
-  for (const ServingSample& sample : over) {
+  for (const ServingSample& sample : affected) {
     worst = std::max(worst, sample.ratio());
     target = std::max(target, ToMillis(sample.target));
     for (const auto& [image, share] : best_effort) {
@@ -160,16 +167,15 @@
     int& percent = entry.second;
     if (percent >= kFullPacePercent) continue;
     const auto it = best_effort.find(image);
-    const double asked = it == best_effort.end() ? 0 : it->second.asked;
-    const double more = asked * kIncreaseStepPercent / kFullPacePercent;
+    const double requested = it == best_effort.end() ? 0 : it->second.requested;
+    const double step = requested * kStepPercent / kFullPacePercent;
     const bool harmless = std::all_of(
         serving.begin(), serving.end(), [&](const ServingSample& sample) {
           const double expected =
-              ToMillis(sample.tail) + WeightMillis(sample.image, image) * more;
+              ToMillis(sample.tail) + WeightMillis(sample.image, image) * step;
           return expected < kReduceAboveRatio * ToMillis(sample.target);
         });
-    if (harmless)
-      percent = std::min(kFullPacePercent, percent + kIncreaseStepPercent);
+    if (harmless) percent = std::min(kFullPacePercent, percent + kStepPercent);
   }
 }
 
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -1,17 +1,19 @@
-// How fast each filling image of one VM may work, so that the serving tasks
-// beside them stay under their targets.
+// Determines how fast each best-effort image on one VM may run, so that the
+// serving tasks beside it stay within their latency targets.
 //
-// Pure feedback on late measurements, helped by what the owner has learned of
-// which image disturbs which: cut the culprits quickly when a serving task
-// nears its target, wait for the effect to show, and give back step by step.
-// Without such knowledge all fillers are cut. That is for light load, where
-// caution costs nothing. Where fillers ask for more than there is, a pace a
-// little below demand makes nearly all work late: there the owner chooses the
-// policy by which fillers work at their whole pace but for the rests of
-// LatencyGuard.
+// PacePolicy::kCautious is feedback control on delayed measurements. When a
+// serving task comes near its target, the paces of the images that interfere
+// with it are reduced quickly; once the effect is visible and the tail is low,
+// they are raised step by step. Which image interferes with which is learned by
+// the owner and given as weights; without weights all best-effort images are
+// reduced. This suits light load, where reduced paces cost nothing.
+//
+// Under overload a pace slightly below demand would make nearly all best-effort
+// work late. The owner then selects PacePolicy::kGuarded, under which images
+// run at full pace except while LatencyGuard pauses them.
 //
 //   Pacer pacer;
-//   pacer.Observe(serving, filling, best_effort_active, now);
+//   pacer.Observe(serving, best_effort, best_effort_active, now);
 //   int percent = pacer.PacePercent("batch-7");
 #ifndef BEAMHILL_EXECUTOR_PACER_H_
 #define BEAMHILL_EXECUTOR_PACER_H_
@@ -28,58 +30,59 @@
 
 namespace beamhill {
 
-// The pace of a filler that nothing holds back.
+// The pace of a best-effort run without restriction.
 inline constexpr int kFullPacePercent = 100;
 
 class Pacer {
  public:
-  // Serving and filling image to what the filler would add to the tail if it
-  // had the whole VM.
+  // By serving and best-effort image: how much the best-effort image would add
+  // to the serving image's tail latency if it used the whole VM.
   using InterferenceWeights =
       std::map<std::pair<std::string, std::string>, Duration>;
-  // Shares of the VM's processors.
+  // Shares of the VM's CPU, from 0 to 1.
   struct BestEffortShare {
-    double used = 0;   // By all tasks of the image, now.
-    double asked = 0;  // What they would use at their full pace.
+    double used = 0;       // Currently, by all tasks of the image.
+    double requested = 0;  // What these would use at full pace.
   };
   using BestEffortShares = std::map<std::string, BestEffortShare>;  // By image.
 
-  // `harm_after`: see LatencyGuard.
+  // `harm_after` is passed on to LatencyGuard.
   explicit Pacer(Duration harm_after = kDefaultHarmAfter)
       : guard_(harm_after) {}
 
   void set_policy(PacePolicy policy) { policy_ = policy; }
-  // What the owner has learned; replaces what it said before.
+  // Replaces the weights by those that the owner has learned.
   void SetInterferenceWeights(InterferenceWeights weights) {
     weights_ = std::move(weights);
   }
-  // Takes in the newest samples of the VM and changes paces by them.
-  // `best_effort_active`: whether some filler is seen to use processors.
+  // Updates paces by the newest samples of the VM. `best_effort_active` tells
+  // whether any best-effort run was measured to use CPU.
   void Observe(const std::vector<ServingSample>& serving,
                const BestEffortShares& best_effort, bool best_effort_active,
                TimePoint now);
-  // The percentage at which tasks of the image may work; 100 at first.
+  // The pace of the image's tasks in percent; 100 for an image not seen before.
   int PacePercent(const std::string& image) const;
 
  private:
-  // Changes paces by feedback; for light load.
+  // The feedback control of PacePolicy::kCautious.
   void ApplyFeedback(const std::vector<ServingSample>& serving,
                      const BestEffortShares& best_effort, TimePoint now);
   double WeightMillis(const std::string& serving,
                       const std::string& best_effort) const;
-  // After a rest: gives fillers that are known to be harmless their pace back.
+  // After an ineffective pause, restores the full pace of images that are known
+  // to be harmless.
   void RestoreHarmless(const std::vector<ServingSample>& serving,
                        const BestEffortShares& best_effort);
-  // Cuts some fillers when a tail has been near its target or over it for so
-  // long: at first those that are known to disturb; if that has not helped, all
-  // that are not known to be harmless.
-  void ReducePaces(const std::vector<ServingSample>& over,
+  // Reduces paces while the tails in `affected` have been near or above their
+  // targets for `near_for`: at first those of likely sources of interference;
+  // after kTrustWeightsFor, those of all images not known to be harmless.
+  void ReducePaces(const std::vector<ServingSample>& affected,
                    const BestEffortShares& best_effort, Duration near_for);
-  void ReduceLikelySources(const std::vector<ServingSample>& over,
+  void ReduceLikelySources(const std::vector<ServingSample>& affected,
                            const BestEffortShares& best_effort);
   void IncreasePaces(const std::vector<ServingSample>& serving,
                      const BestEffortShares& best_effort);
-  bool IsKnownHarmless(const std::vector<ServingSample>& over,
+  bool IsKnownHarmless(const std::vector<ServingSample>& affected,
                        const std::string& image) const;
   void ReduceImage(const std::string& image, double factor);
 
@@ -87,7 +90,8 @@
   LatencyGuard guard_;
   InterferenceWeights weights_;
   std::map<std::string, int> percents_;
-  bool near_target_ = false;  // Or near it: some fillers are cut.
+  // Whether some tail is near or above its target, so that paces are reduced.
+  bool near_target_ = false;
   TimePoint near_target_since_{};
   TimePoint reduced_at_{};
   TimePoint increased_at_{};
--- a/beamhill/executor/pacer_test.cc
+++ b/beamhill/executor/pacer_test.cc
@@ -22,7 +22,7 @@
                const std::map<std::string, double>& used) {
     Pacer::BestEffortShares best_effort;
     for (const auto& [image, share] : used)
-      best_effort[image] = {share, asked_};
+      best_effort[image] = {share, requested_};
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += milliseconds(250);
@@ -35,7 +35,7 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  double asked_ = 0.5;  // By each filling image, of the whole VM.
+  double requested_ = 0.5;  // By each filling image, of the whole VM.
   Pacer pacer_;
 };
 
@@ -105,11 +105,11 @@
   ASSERT_EQ(pacer_.PacePercent("heavy"), 0);
   pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(120)}});
   // A step of 12 % of half the VM would add 7.2 ms to 12.
-  asked_ = 0.5;
+  requested_ = 0.5;
   Observe(seconds(3), milliseconds(12), {{"heavy", 0}});
   EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
   // Of a tenth of it, 1.4 ms.
-  asked_ = 0.1;
+  requested_ = 0.1;
   Observe(seconds(1), milliseconds(12), {{"heavy", 0}});
   EXPECT_GT(pacer_.PacePercent("heavy"), 0);
 }
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -1,9 +1,14 @@
-// The runner that stands beside an executor and runs tasks, as a set of hooks
-// that an adaptor fills in.
+// Interface between an executor and the runner that runs tasks on the same VM:
+// a set of hooks that a platform adaptor implements.
 //
-// Each hook calls `done` exactly once, from the loop and never from inside the
-// call. Times on the runner's own clock are `RunnerClock` values; only their
-// differences mean anything here.
+// Each hook calls `done` exactly once, from the event loop and never before the
+// hook has returned. Times by the runner's own clock are `RunnerClock` values;
+// only their differences are meaningful to the executor.
+//
+//   TaskRunner runner;
+//   runner.start = [&client](RunnerStart call, auto done) {
+//     client.Start(std::move(call), std::move(done));
+//   };
 #ifndef BEAMHILL_EXECUTOR_TASK_RUNNER_H_
 #define BEAMHILL_EXECUTOR_TASK_RUNNER_H_
 
@@ -24,14 +29,14 @@
 
 enum class RunnerVerdict : uint8_t {
   kDone,
-  kFenced,    // It has seen a later epoch.
-  kOutdated,  // The run or the lease end is too old.
-  kNoRoom,
+  kFenced,            // The runner has seen a later epoch.
+  kOutdated,          // The run or the lease end is too old.
+  kNoRoom,            // The runner has no free capacity.
   kNotAllowed,        // The VM may not run this step.
-  kUnhealthy,         // It turned the call away and has done nothing.
-  kUnreachable,       // Nobody took the call; nothing is done.
-  kOtherIncarnation,  // Another life of the runner answers now.
-  kNoAnswer,          // It may have been done, or may yet be done.
+  kUnhealthy,         // The runner rejected the call without any effect.
+  kUnreachable,       // The call was not delivered and has no effect.
+  kOtherIncarnation,  // Another incarnation of the runner answers.
+  kNoAnswer,          // The call may have taken effect, or may do so later.
 };
 
 struct RunnerReply {
@@ -45,7 +50,7 @@
   RunRef run;
   std::string payload;
   std::string checkpoint;
-  std::string ticket;  // Empty: the step needs none.
+  std::string ticket;  // Of the placement advisor; empty if none is needed.
   RunnerClock lease_end{};
 };
 
@@ -59,22 +64,24 @@
   std::string incarnation;
   uint64_t epoch = 0;
   RunRef run;
-  int percent = 100;  // Share of its time that the task may work.
+  int percent = 100;  // Share of the time that the run may use CPU; 0 pauses.
 };
 
 struct RunnerPoll {
   std::string incarnation;
   uint64_t epoch = 0;
-  uint64_t acknowledged_through = 0;  // Ends up to here may be forgotten.
+  uint64_t acknowledged_through = 0;  // The runner may forget ends up to here.
   std::optional<RunnerClock> lease_end;
-  std::chrono::milliseconds wait{};  // For an end, when none is listed.
+  // How long the runner may delay its answer while it has no end to list.
+  std::chrono::milliseconds wait{};
 };
 
 struct RunningRun {
   RunRef run;
-  int percent = 100;  // Of its work that is done; 100: a lasting task serves.
-  // Of the last half second: a serving task's tail latency in milliseconds,
-  // or another's processor time in thousandths of a core.
+  // Completed share of the work; 100 for a long-running task that is serving.
+  int percent = 100;
+  // Over the last half second: the tail latency of a serving task in
+  // milliseconds, or the CPU use of any other task in thousandths of a core.
   int64_t measurement = 0;
 };
 
@@ -84,9 +91,10 @@
   std::vector<RunEnd> ended;
 };
 
-// How many calls of each kind may be open at a time. An executor keeps the
-// others back, where they can still be withdrawn; so no kind holds up another.
-// Paces get most, since a rest is ordered of all fillers of a VM at once.
+// Maximum number of calls of each kind in flight. The executor queues further
+// calls, which can then still be withdrawn. Separate limits keep one kind from
+// delaying another. Paces have the highest one because all best-effort tasks of
+// a VM are paused at once.
 struct RunnerLimits {
   size_t starts = 3;
   size_t stops = 4;
--- a/beamhill/executor/vm_registration.cc
+++ b/beamhill/executor/vm_registration.cc
@@ -8,14 +8,15 @@
 namespace beamhill {
 namespace {
 
-// After a call that failed, doubled each time; a part of it is drawn.
+// Backoff after failed calls: doubled each time, with jitter.
 constexpr Duration kMinBackoff = std::chrono::milliseconds(200);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(6400);
-// Without a word of an owner for so long, the row may be missing.
+// Without a message of an owner for this long, the row may be missing and is
+// checked at kRowCheckInterval.
 constexpr Duration kUnownedAfter = std::chrono::seconds(3);
-// And is looked at this often while that lasts.
 constexpr Duration kRowCheckInterval = std::chrono::seconds(10);
-// Removals of a row, each after a look, while it is not known to be gone.
+// Attempts to remove a row while the outcome of the last one is unknown. Each
+// reads the row first.
 constexpr int kMaxRemovalAttempts = 3;
 
 }  // namespace
@@ -56,13 +57,13 @@
     Store(row.version);
     return;
   }
-  if (version_ != row.version) hooks_.log("vm_registered", "as it was");
+  if (version_ != row.version) hooks_.log("vm_registered", "row unchanged");
   version_ = row.version;
   OnStored();
 }
 
-// Under the version that was read: a write of an earlier process that takes
-// effect late must not bring its address back.
+// Writes on condition that the row still has the version read: a delayed write
+// of an earlier process must not restore its address.
 void VmRegistration::Store(uint64_t version) {
   call_in_flight_ = true;
   version_ = 0;
@@ -76,11 +77,11 @@
                     return;
                   }
                   if (answer.result != CommitResult::kCommitted) {
-                    RetryLater("not stored");
+                    RetryLater("row not stored");
                     return;
                   }
                   version_ = answer.versions.front();
-                  hooks_.log("vm_registered", "stored");
+                  hooks_.log("vm_registered", "row stored");
                   OnStored();
                 }));
 }
@@ -95,7 +96,7 @@
   const Duration delay = std::chrono::duration_cast<Duration>(
       backoff_ * (0.5 + hooks_.random() / 2));
   hooks_.log("vm_not_registered",
-             error + "; again in " +
+             error + "; retry in " +
                  std::to_string(static_cast<int64_t>(ToMillis(delay))) + " ms");
   next_read_at_ = hooks_.now() + delay;
 }
@@ -103,7 +104,7 @@
 void VmRegistration::Withdraw(std::function<void()> done) {
   withdrawn_ = true;
   on_withdrawn_ = std::move(done);
-  // A call that is open may yet store the row.
+  // A call in flight may still store the row; its callback removes it.
   if (!call_in_flight_) RemoveRows();
 }
 
@@ -131,8 +132,8 @@
       }));
 }
 
-// Under its version: should this take effect late, it can't remove what a later
-// process on the VM has written.
+// Removes the row on condition of its version: if this takes effect late, it
+// can't remove a row that a later process on the VM has written.
 void VmRegistration::Remove(const std::string& key, uint64_t version,
                             int attempts_left, std::function<void()> done) {
   Transaction transaction;
@@ -143,7 +144,7 @@
                        done = std::move(done)](const CommitAnswer& answer) {
         const bool removed = answer.result == CommitResult::kCommitted;
         hooks_.log("vm_unregistered",
-                   key + (removed ? ", stored" : ", not known to be"));
+                   key + (removed ? " removed" : ", removal not confirmed"));
         if (answer.result == CommitResult::kUnknown && attempts_left > 1) {
           RemoveRow(key, attempts_left - 1, done);
         } else {
--- a/beamhill/executor/vm_registration.h
+++ b/beamhill/executor/vm_registration.h
@@ -1,17 +1,16 @@
-// Keeps the row under which owners find a VM's executor.
+// Maintains the table row by which owners find a VM's executor.
 //
-// After a loss of power every executor starts at the same moment, and most
-// find their row as they would write it. So the row is read first and written
-// only where it differs, and a table that refuses is asked again after a delay
-// that grows and is drawn for each: at 800 VMs the writes alone would keep one
-// partition busy for seconds.
+// After a power failure all executors start at once, and most find their row
+// unchanged. So the row is read first and written only if it differs, and
+// failed calls are retried with exponential backoff and jitter: with 800 VMs
+// the writes alone would keep one partition busy for seconds.
 //
-// A removal by an earlier process of the VM can take effect late. While no
-// owner is heard, the row is therefore looked at again.
+// A removal by an earlier process of the VM can take effect late. The row is
+// therefore checked again while no owner sends messages.
 //
 //   VmRegistration registration(record, table, hooks);
-//   registration.Tick();                  // each 100 ms
-//   registration.Withdraw([] { ... });    // the VM goes for good
+//   registration.Tick();                // every 100 ms
+//   registration.Withdraw([] { ... });  // when the VM is shut down for good
 #ifndef BEAMHILL_EXECUTOR_VM_REGISTRATION_H_
 #define BEAMHILL_EXECUTOR_VM_REGISTRATION_H_
 
@@ -30,7 +29,7 @@
 struct VmRegistrationHooks {
   std::function<TimePoint()> now;
   std::function<double()> random;  // Uniform in [0, 1).
-  // How long ago an owner was last heard.
+  // Time since the last message of an owner.
   std::function<Duration()> since_owner;
   std::function<void(const std::string& event, const std::string& detail)> log;
 };
@@ -41,10 +40,10 @@
                  VmRegistrationHooks hooks);
 
   void Tick();
-  // Whether the row stood in the table as it should when last looked at.
+  // Whether the row was correct when it was last read or written.
   bool stored() const { return version_ != 0; }
-  // Removes the row, also one of an executor of an earlier version, then calls
-  // `done`, whether or not the table has answered. Nothing is written after.
+  // Removes the row and the one under the key of earlier versions, then calls
+  // `done`, even if the table can't be reached. No row is written afterwards.
   void Withdraw(std::function<void()> done);
 
  private:
@@ -54,7 +53,7 @@
   void OnStored();
   void RetryLater(const std::string& error);
   void RemoveRows();
-  // Removes the row if it is this VM's, as it is when looked at.
+  // Reads the row and removes that version of it if it belongs to this process.
   void RemoveRow(const std::string& key, int attempts_left,
                  std::function<void()> done);
   void Remove(const std::string& key, uint64_t version, int attempts_left,
@@ -65,10 +64,10 @@
   std::string value_;
   Table table_;
   VmRegistrationHooks hooks_;
-  bool call_in_flight_ = false;  // A call is open.
+  bool call_in_flight_ = false;
   bool withdrawn_ = false;
   std::function<void()> on_withdrawn_;
-  uint64_t version_ = 0;  // Of the row as it should be; 0: not known to be so.
+  uint64_t version_ = 0;  // Of the correct row; 0 if it is not known to exist.
   TimePoint next_read_at_{};
   Duration backoff_{};
   Lifetime lifetime_;
