--- a/beamhill/executor/call_queue_test.cc
+++ b/beamhill/executor/call_queue_test.cc
@@ -9,7 +9,7 @@
 
 RunRef RunOf(uint32_t index) { return {{"w", 0, 0, index}, 1}; }
 
-TEST(CallQueueTest, CallsLeaveInTheirOrderAsFarAsThereIsRoom) {
+TEST(CallQueueTest, CallsAreTakenInOrderUpToTheLimitInFlight) {
   CallQueue<int> queue(2);
   for (uint32_t i = 0; i < 4; ++i) queue.Push(RunOf(i), 0, kNow);
   EXPECT_EQ(queue.TakeNext()->run, RunOf(0));
@@ -20,7 +20,7 @@
   EXPECT_EQ(queue.waiting(), 1);
 }
 
-TEST(CallQueueTest, LaterCallForARunTakesTheTurnOfTheEarlier) {
+TEST(CallQueueTest, LaterCallForARunReplacesTheEarlierInItsPosition) {
   CallQueue<int> queue(9);
   queue.Push(RunOf(0), 10, kNow);
   queue.Push(RunOf(1), 20, kNow);
@@ -32,7 +32,7 @@
   EXPECT_FALSE(queue.TakeNext());
 }
 
-TEST(CallQueueTest, WhatIsWithdrawnDoesNotLeave) {
+TEST(CallQueueTest, WithdrawnCallsAreNotTaken) {
   CallQueue<int> queue(9);
   for (uint32_t i = 0; i < 4; ++i) queue.Push(RunOf(i), 0, kNow);
   EXPECT_TRUE(queue.Withdraw(RunOf(1)));
@@ -45,8 +45,8 @@
   EXPECT_EQ(queue.TakeNext()->run, RunOf(2));
 }
 
-// What has left may still take effect, so that its place is not free.
-TEST(CallQueueTest, ClearedLaneKeepsItsOpenCalls) {
+// Calls that were sent may still take effect, so they count towards the limit.
+TEST(CallQueueTest, ClearedQueueStillCountsCallsInFlight) {
   CallQueue<int> queue(1);
   queue.Push(RunOf(0), 0, kNow);
   queue.Push(RunOf(1), 0, kNow);
--- a/beamhill/executor/executor_losses_test.cc
+++ b/beamhill/executor/executor_losses_test.cc
@@ -1,4 +1,4 @@
-// What an Executor tells of a runner that was lost.
+// Tests what an Executor reports about a runner that was lost or has exited.
 #include "beamhill/executor/executor_test_base.h"
 
 namespace beamhill {
@@ -23,9 +23,10 @@
     done({verdict, std::nullopt});
   }
 
-  // Run(0) has been at work for 2.5 s when its runner is last heard.
+  // Run(0) has been running for 2.5 s when its runner answers for the last
+  // time.
   void RunOneForLong() {
-    Register("life-1");
+    Register("incarnation-1");
     Attach(1);
     StartAnswered(Run(0), RunnerVerdict::kDone);
     AdvanceTime(milliseconds(2500));
@@ -41,7 +42,7 @@
     for (auto& [call, done] : std::exchange(polls_, {})) done(view);
   }
 
-  // The runner answers all looks for so long.
+  // Advances time by `time`, during which the runner answers all polls.
   void AdvanceAnsweringPolls(Duration time) {
     for (Duration passed{}; passed < time; passed += milliseconds(100)) {
       AdvanceTime(milliseconds(100));
@@ -51,57 +52,59 @@
     }
   }
 
-  // The line about the loss of a runner that first says that it leaves, or not.
-  std::string LossAfter(const std::function<void()>& last_word) {
-    Register("life-1");
+  // Calls `before_loss` and replaces the runner; returns the log line about its
+  // loss, or an empty string if there is none.
+  std::string LossAfter(const std::function<void()>& before_loss) {
+    Register("incarnation-1");
     Attach(1);
     StartAnswered(Run(0), RunnerVerdict::kDone);
-    last_word();
-    Register("life-2");
+    before_loss();
+    Register("incarnation-2");
     const auto& lines = logged_["runner_lost"];
     return lines.empty() ? "" : lines.back();
   }
 };
 
-// Of all that was on the runner, only what had just begun can have taken it
-// down as it started.
-TEST_F(ExecutorLossesTest, NamesWhatHadJustBegunOnARunnerThatIsLost) {
+// Of all runs on the runner, only those that had just begun can have crashed it
+// as they started.
+TEST_F(ExecutorLossesTest, LostRunnerIsLoggedWithTheRunsThatHadJustBegun) {
   RunOneForLong();
   StartAnswered(Run(1), RunnerVerdict::kDone);
   StartAnswered(Run(2), RunnerVerdict::kNoAnswer);  // It may have begun.
   StartAnswered(Run(3), RunnerVerdict::kUnreachable);
   StartAnswered(Run(4), RunnerVerdict::kNoRoom);
   AdvanceTime(seconds(3));
-  Register("life-2");
+  Register("incarnation-2");
   ASSERT_THAT(logged_["runner_lost"], SizeIs(1));
-  EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("life-1"));
+  EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("incarnation-1"));
   EXPECT_THAT(logged_["runner_lost"][0],
               HasSubstr("begun: w.0.0.1/1 w.0.0.2/1"));
   EXPECT_EQ(executor_->counts().runners_lost, 1);
 }
 
-TEST_F(ExecutorLossesTest, RunnerThatLeavesAsItSaidIsNotLost) {
+TEST_F(ExecutorLossesTest, RunnerThatAnnouncedItsExitIsNotLost) {
   EXPECT_THAT(LossAfter([] {}), HasSubstr("w.0.0.0/1"));
   logged_.clear();
-  EXPECT_EQ(LossAfter([this] { executor_->OnRunnerLeaving("life-1"); }), "");
+  EXPECT_EQ(LossAfter([this] { executor_->OnRunnerLeaving("incarnation-1"); }),
+            "");
 }
 
-// An owner that takes over as a runner goes down has not been told by its
+// An owner that takes over while a runner fails does not know from its
 // predecessor what had begun there.
-TEST_F(ExecutorLossesTest, EachOwnerHearsOfRunnersLostOfLate) {
+TEST_F(ExecutorLossesTest, EachOwnerIsToldOfRunnersLostRecently) {
   RunOneForLong();
   StartAnswered(Run(1), RunnerVerdict::kDone);
   executor_->OnLinkDown(kLink);
   AdvanceTime(seconds(3));
   LosePolls();
-  Register("life-2");
+  Register("incarnation-2");
   LosePolls();
   sent_.clear();
   Attach(2);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   ASSERT_THAT(Sent<VmInventory>()[0].past_lives, SizeIs(1));
   const PastLife lost = Sent<VmInventory>()[0].past_lives[0];
-  EXPECT_EQ(lost.life, "life-1");
+  EXPECT_EQ(lost.life, "incarnation-1");
   EXPECT_THAT(lost.just_begun, testing::ElementsAre(Run(1)));
   EXPECT_THAT(lost.others, testing::ElementsAre(Run(0)));
   AdvanceTime(seconds(31));
@@ -112,9 +115,9 @@
   EXPECT_THAT(Sent<VmInventory>()[0].past_lives, IsEmpty());
 }
 
-// Its work is let go then, and begins anew elsewhere.
-TEST_F(ExecutorLossesTest, RunnerThatIsSilentPastItsLeaseIsLost) {
-  Register("life-1");
+// Its runs are given up then and start again elsewhere.
+TEST_F(ExecutorLossesTest, RunnerThatIsSilentBeyondItsLeaseIsLost) {
+  Register("incarnation-1");
   Attach(1);
   AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
@@ -125,17 +128,18 @@
   ASSERT_THAT(Sent<VmInventory>()[1].past_lives, SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[1].past_lives[0].just_begun,
               testing::ElementsAre(Run(0)));
-  Register("life-2");
+  Register("incarnation-2");
   EXPECT_EQ(executor_->counts().runners_lost, 1);
 }
 
-// Its owner has let them go; the oldest stop would be a false alarm for good.
-TEST_F(ExecutorLossesTest, StopsOfARunnerThatIsSilentPastItsLeaseAreOver) {
-  Register("life-1");
+// The owner has given up these runs. If the stops were kept, the age of the
+// oldest stop would raise a false alarm permanently.
+TEST_F(ExecutorLossesTest, StopsOfARunnerThatIsSilentBeyondItsLeaseAreDropped) {
+  Register("incarnation-1");
   Attach(1);
   AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
-  executor_->OnMessage(kLink, StopRuns{1, "life-1", {Run(0)}});
+  executor_->OnMessage(kLink, StopRuns{1, "incarnation-1", {Run(0)}});
   for (int i = 0; i < 120; ++i) {
     for (auto& [call, done] : std::exchange(stops_, {})) {
       done({RunnerVerdict::kUnreachable, std::nullopt});
@@ -153,11 +157,11 @@
   EXPECT_EQ(executor_->counts().stops, stops);
 }
 
-// The word of it went to nobody.
-TEST_F(ExecutorLossesTest, RunnerThatLeftUnownedIsToldToTheNextOwner) {
+// No owner was attached to receive the first report.
+TEST_F(ExecutorLossesTest, ExitWithoutAnOwnerIsReportedToTheNextOwner) {
   RunOneForLong();
   executor_->OnLinkDown(kLink);
-  executor_->OnRunnerLeaving("life-1");
+  executor_->OnRunnerLeaving("incarnation-1");
   for (int i = 0; i < 10; ++i) {
     AnswerPollsWith(RunnerVerdict::kUnreachable);
     AdvanceTime(milliseconds(100));
@@ -165,14 +169,15 @@
   ASSERT_TRUE(executor_->runner_is_gone());
   sent_.clear();
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  AdvanceTime(seconds(6));  // A lease and its margin.
+  AdvanceTime(seconds(6));  // More than a lease and its margin.
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
 }
 
-// It was held up, answers once more, and goes down as the next run begins.
-TEST_F(ExecutorLossesTest, RunnerThatWasOnlySilentIsLostOnceMore) {
-  Register("life-1");
+// The runner was only delayed, answers again, and crashes as the next run
+// begins.
+TEST_F(ExecutorLossesTest, RunnerThatRecoversAfterSilenceCanBeLostAgain) {
+  Register("incarnation-1");
   Attach(1);
   AnswerPoll();
   StartAnswered(Run(0), RunnerVerdict::kDone);
@@ -184,7 +189,7 @@
   AnswerPoll();
   executor_->OnMessage(kLink, RenewLease{1, now_, seconds(5)});
   StartAnswered(Run(1), RunnerVerdict::kDone);
-  Register("life-2");
+  Register("incarnation-2");
   LosePolls();
   sent_.clear();
   Attach(2);
@@ -194,8 +199,10 @@
               testing::ElementsAre(Run(1)));
 }
 
-// Its word that it ends names no start, and may have been held up on its way.
-TEST_F(ExecutorLossesTest, LateLeaveOfAnEarlierStartDoesNotEndTheNext) {
+// The announcement of an exit does not tell which incarnation sent it, and may
+// be delayed until the next one is running.
+TEST_F(ExecutorLossesTest,
+       DelayedExitAnnouncementDoesNotEndTheNextIncarnation) {
   Register("i-1/1");
   Register("i-1/2");
   Attach(1);
@@ -208,8 +215,8 @@
   StartAnswered(Run(1), RunnerVerdict::kDone);
 }
 
-// It says that it ends, and takes its time.
-TEST_F(ExecutorLossesTest, LeavingRunnerIsForgottenOnceItNoLongerAnswers) {
+// The runner announces its exit and keeps answering for a while.
+TEST_F(ExecutorLossesTest, LeavingRunnerIsForgottenOnceItStopsAnswering) {
   VmStatus status;
   status.life = "i-1/1";
   status.draining = true;
@@ -227,7 +234,7 @@
   EXPECT_TRUE(executor_->runner_is_gone());
 }
 
-TEST_F(ExecutorLossesTest, LeavingRunnerIsAskedAgainForTheNextOwner) {
+TEST_F(ExecutorLossesTest, LeavingRunnerIsPolledAgainForTheNextOwner) {
   Register("i-1/1");
   Attach(1);
   executor_->OnRunnerLeaving("i-1/1");
@@ -240,8 +247,10 @@
   EXPECT_TRUE(executor_->runner_is_gone());
 }
 
-// An executor that has just started can't know which of two came late.
-TEST_F(ExecutorLossesTest, LateRegistrationDoesNotKeepOutTheLifeThatAnswers) {
+// An executor that has just started can't tell which of two registrations was
+// delayed.
+TEST_F(ExecutorLossesTest,
+       DelayedRegistrationDoesNotExcludeTheAnsweringIncarnation) {
   Register("i-1/2");
   Register("i-1/1");
   Attach(1);
@@ -253,8 +262,9 @@
   EXPECT_EQ(executor_->status().life, "i-1/2");
 }
 
-// It has begun on neither life, and need not wait for the next registration.
-TEST_F(ExecutorLossesTest, StartThatMeetsAnotherLifeIsGivenBackAtOnce) {
+// The run has begun on neither incarnation, so it is reported without waiting
+// for the next registration.
+TEST_F(ExecutorLossesTest, StartAnsweredByAnotherIncarnationIsReturnedAtOnce) {
   Register("i-1/1");
   Attach(1);
   StartAnswered(Run(0), RunnerVerdict::kOtherIncarnation);
@@ -265,14 +275,14 @@
   EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("begun: none"));
 }
 
-// A runner went down 10 ms after a task began, and was back as another life
-// 3.2 s later. Before that registered, a start for the earlier life reached it
-// and was turned away; the executor took this for a sign of the life that was
-// gone ("runner_lost ... last heard 5 ms ago") and named what it had asked for
-// within the last second. The task that had taken the runner down was not among
-// them, twice, and was started on six runners.
-TEST_F(ExecutorLossesTest, AnswerOfALaterLifeClearsNothing) {
-  Register("life-1");
+// A runner crashes 10 ms after a task began and is back as another incarnation
+// 3.2 s later. Before that one registers, it rejects a start meant for the
+// earlier one. If the rejection counted as an answer of the earlier incarnation
+// ("runner_lost ... last heard 5 ms ago"), only starts of the last second would
+// be suspects. The task that crashed the runner would not be among them and
+// would be started on further runners; one such task reached six.
+TEST_F(ExecutorLossesTest, AnswerOfALaterIncarnationClearsNoSuspects) {
+  Register("incarnation-1");
   Attach(1);
   StartAnswered(Run(0), RunnerVerdict::kDone);
   AdvanceTime(seconds(3));
@@ -280,7 +290,7 @@
   StartAnswered(Run(1), RunnerVerdict::kOtherIncarnation);
   AdvanceTime(milliseconds(600));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
-  Register("life-2");
+  Register("incarnation-2");
   ASSERT_THAT(logged_["runner_lost"], SizeIs(1));
   EXPECT_THAT(logged_["runner_lost"][0], HasSubstr("w.0.0.0/1"));
 }
--- a/beamhill/executor/executor_reports_test.cc
+++ b/beamhill/executor/executor_reports_test.cc
@@ -1,5 +1,5 @@
-// That an owner hears of each begin and end, whichever message was lost and in
-// whichever order looks are answered.
+// Tests that an owner learns of each begin and end, whichever message is lost
+// and in whichever order polls are answered.
 #include "beamhill/executor/executor_test_base.h"
 
 namespace beamhill {
@@ -16,10 +16,10 @@
  protected:
   static constexpr uint64_t kOtherLink = 2;
 
-  // kRun has left for the runner when the owner attaches anew, and two looks
-  // are open: one from before, one for the inventory.
+  // The start of kRun is in flight when the owner attaches again, and so are
+  // two polls: an earlier one, and the one for the inventory.
   void AttachAgainAsARunStarts() {
-    Register("life-1");
+    Register("incarnation-1");
     Attach(1);
     Start(kRun, 1);
     ASSERT_THAT(starts_, SizeIs(1));
@@ -30,7 +30,7 @@
     now_ += milliseconds(10);
   }
 
-  // The look that was sent last is answered first.
+  // Answers the newest poll in flight.
   void AnswerNewestPoll(std::vector<RunningRun> running,
                         std::vector<RunEnd> ended) {
     ASSERT_THAT(polls_, Not(IsEmpty()));
@@ -42,8 +42,8 @@
   }
 };
 
-// The owner stops what it holds and an inventory does not name.
-TEST_F(ExecutorReportsTest, InventoryNamesARunThatBeganAfterItsLookWasSent) {
+// The owner stops runs that it holds and an inventory does not list.
+TEST_F(ExecutorReportsTest, InventoryListsARunThatBeganAfterItsPollWasSent) {
   AttachAgainAsARunStarts();
   AnswerAll(starts_);
   now_ += milliseconds(1);
@@ -57,16 +57,17 @@
   EXPECT_THAT(Sent<VmInventory>()[0].running, Contains(kRun));
 }
 
-// The owner, which missed the report, would hold it as long as the link lasts.
-TEST_F(ExecutorReportsTest, InventoryNamesNoRunThatIsKnownNeverToBegin) {
-  Register("life-1");
+// The owner missed the report, and would otherwise keep the run for as long as
+// the link lasts.
+TEST_F(ExecutorReportsTest, InventoryOmitsARunKnownNeverToBegin) {
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   now_ += milliseconds(10);
-  executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}});
+  executor_->OnMessage(kLink, StopRuns{1, "incarnation-1", {kRun}});
   AnswerAll(starts_);
   AnswerAll(stops_);
-  ASSERT_THAT(polls_, SizeIs(2));  // One of before the stop.
+  ASSERT_THAT(polls_, SizeIs(2));  // One was sent before the stop.
   executor_->OnLinkDown(kLink);
   now_ += milliseconds(10);
   AnswerNewestPoll({}, {});
@@ -80,13 +81,13 @@
   EXPECT_THAT(Sent<VmInventory>()[0].running, IsEmpty());
 }
 
-// The end was listed while no owner was there, and the inventory is from a look
-// that was answered late and does not list it.
-TEST_F(ExecutorReportsTest, EndThatTheInventoryLacksIsReportedAfterIt) {
-  Register("life-1");
+// The end was listed while no owner was attached, and the inventory comes from
+// an earlier poll, answered late, that does not list it.
+TEST_F(ExecutorReportsTest, EndMissingFromTheInventoryIsReportedAfterIt) {
+  Register("incarnation-1");
   Attach(1);
   now_ += milliseconds(10);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsSettled{1, "incarnation-1", 1});
   ASSERT_THAT(polls_, SizeIs(2));
   executor_->OnLinkDown(kLink);
   AnswerNewestPoll({}, {{2, kRun, RunEndKind::kDone, ""}});
@@ -94,19 +95,20 @@
   executor_->OnMessage(kOtherLink, ::beamhill::Attach{"a", 1});
   AnswerPoll({{kRun, 50, 0}});
   AnswerPoll({}, {{2, kRun, RunEndKind::kDone, ""}});
-  std::vector<RunEnd> told;
+  std::vector<RunEnd> reported;
   for (const VmInventory& inventory : Sent<VmInventory>()) {
-    told.insert(told.end(), inventory.ended.begin(), inventory.ended.end());
+    reported.insert(reported.end(), inventory.ended.begin(),
+                    inventory.ended.end());
   }
   for (const RunReports& reports : Sent<RunReports>()) {
-    told.insert(told.end(), reports.ended.begin(), reports.ended.end());
+    reported.insert(reported.end(), reports.ended.begin(), reports.ended.end());
   }
-  EXPECT_THAT(told, SizeIs(1));
+  EXPECT_THAT(reported, SizeIs(1));
 }
 
-// The owner may have been unable to use the report, or to send its answer.
-TEST_F(ExecutorReportsTest, EndThatStaysUnsettledIsReportedAgain) {
-  Register("life-1");
+// The owner may have been unable to process the report or to acknowledge it.
+TEST_F(ExecutorReportsTest, UnacknowledgedEndIsReportedAgain) {
+  Register("incarnation-1");
   Attach(1);
   const RunEnd end{1, kRun, RunEndKind::kDone, ""};
   const auto list_for = [&](Duration time) {
@@ -122,37 +124,39 @@
   EXPECT_GE(Sent<RunReports>().size(), 4);
   EXPECT_LE(Sent<RunReports>().size(), 6);
   EXPECT_EQ(Sent<RunReports>().back().ended.size(), 1);
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 1});
+  executor_->OnMessage(kLink, EndsSettled{1, "incarnation-1", 1});
   sent_.clear();
-  list_for(milliseconds(2000));  // The runner is slow to forget it.
+  list_for(milliseconds(2000));  // The runner still lists the end.
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
 }
 
-// While the table is away no end is settled, and there may be hundreds.
-TEST_F(ExecutorReportsTest, FewEndsAreReportedAgainAtATime) {
-  Register("life-1");
+// While the table is unavailable no end is acknowledged, and there may be
+// hundreds.
+TEST_F(ExecutorReportsTest, RepeatedEndsAreLimitedPerReport) {
+  Register("incarnation-1");
   Attach(1);
   std::vector<RunEnd> ends;
   for (uint64_t number = 1; number <= 300; ++number) {
     ends.push_back({number, {{"w", 0, 0, 0}, number}, RunEndKind::kDone, ""});
   }
   AnswerPoll({}, ends);
-  size_t told = 0;
+  size_t reported = 0;
   sent_.clear();
   for (int i = 0; i < 30; ++i) {
     AdvanceTime(milliseconds(100));
     AnswerPoll({}, ends);
   }
   for (const RunReports& reports : Sent<RunReports>()) {
-    told += reports.ended.size();
+    reported += reports.ended.size();
     EXPECT_EQ(reports.ended.front().number, 1);
   }
-  EXPECT_GT(told, 0);
-  EXPECT_LE(told, 3 * 8);
+  EXPECT_GT(reported, 0);
+  EXPECT_LE(reported, 3 * 8);
 }
 
-// The owner places no filler of an image where it was last held back.
-TEST_F(ExecutorReportsTest, PressureOfTasksThatAreGoneIsTakenBackOnEachLink) {
+// The owner places no best-effort task of an image where its pace was last
+// reported as reduced, so it must learn that nothing is paced any more.
+TEST_F(ExecutorReportsTest, IdleInterferenceReportIsSentOnceOnEachLink) {
   RunBestEffortBesideSlowService();
   ASSERT_THAT(Sent<VmPressure>(), Not(IsEmpty()));
   EXPECT_LT(Sent<VmPressure>().back().filling[0].percent, 100);
--- a/beamhill/executor/executor_stops_test.cc
+++ b/beamhill/executor/executor_stops_test.cc
@@ -1,4 +1,4 @@
-// What becomes of stops that an Executor's runner takes or does not answer.
+// Tests how an Executor follows up on stops that its runner accepted.
 #include "beamhill/executor/executor_test_base.h"
 
 namespace beamhill {
@@ -11,9 +11,9 @@
 
 class ExecutorStopsTest : public ExecutorTest {
  protected:
-  // The runner has begun kRun and taken a stop of it.
+  // Starts kRun on the runner, which then accepts a stop of it.
   void StartAndStop() {
-    Register("life-1");
+    Register("incarnation-1");
     Attach(1);
     Start(kRun, 1);
     AnswerAll(starts_);
@@ -22,10 +22,12 @@
     AnswerAll(stops_);
   }
 
-  void Stop() { executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}}); }
+  void Stop() {
+    executor_->OnMessage(kLink, StopRuns{1, "incarnation-1", {kRun}});
+  }
 
-  // Looks are answered as a runner does that lists kRun, and no end while it
-  // runs: after their wait.
+  // Advances time by `time` while polls are answered: while kRun is running,
+  // after their wait, since there is no end to list; at once after that.
   void AdvanceAnsweringPolls(Duration time) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
@@ -34,7 +36,7 @@
         waiting_.emplace_back(now_ + poll.first.wait, poll.second);
       }
       for (const auto& [at, done] : std::exchange(waiting_, {})) {
-        if (runs_on_ && now_ < at) {
+        if (running_ && now_ < at) {
           waiting_.emplace_back(at, done);
         } else {
           done(View());
@@ -46,7 +48,7 @@
   RunnerView View() const {
     const RunEnd end{1, kRun, RunEndKind::kStopped, ""};
     RunnerView view{{RunnerVerdict::kDone, RunnerClock(1000)}, {}, {}};
-    if (runs_on_) {
+    if (running_) {
       view.running = {{kRun, 50, 0}};
     } else {
       view.ended = {end};
@@ -54,16 +56,16 @@
     return view;
   }
 
-  bool runs_on_ = true;
+  bool running_ = true;
   std::vector<std::pair<TimePoint, std::function<void(RunnerView)>>> waiting_;
 };
 
-// Lasting work that was cancelled and whose stop the runner had taken would run
-// on for good.
-TEST_F(ExecutorStopsTest, RunThatOutlivesItsStopIsStoppedAgain) {
+// Otherwise a cancelled long-running task whose stop the runner accepted
+// without effect would run forever.
+TEST_F(ExecutorStopsTest, RunThatSurvivesItsStopIsStoppedAgain) {
   StartAndStop();
   AdvanceAnsweringPolls(milliseconds(800));
-  EXPECT_THAT(stops_, IsEmpty());  // It may yet take effect.
+  EXPECT_THAT(stops_, IsEmpty());  // The first stop may still take effect.
   AdvanceAnsweringPolls(milliseconds(1000));
   ASSERT_THAT(stops_, SizeIs(1));
   EXPECT_EQ(stops_[0].first.run, kRun);
@@ -72,7 +74,7 @@
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
 }
 
-TEST_F(ExecutorStopsTest, RunThatOutlivesEachStopIsStoppedAgainAndAgain) {
+TEST_F(ExecutorStopsTest, RunThatSurvivesEachStopIsStoppedRepeatedly) {
   StartAndStop();
   for (int i = 0; i < 100; ++i) {
     AdvanceAnsweringPolls(milliseconds(100));
@@ -82,9 +84,9 @@
   EXPECT_LE(executor_->counts().stops_ineffective, 10);
 }
 
-// An owner that repeats itself must neither flood the runner nor put off the
-// next stop.
-TEST_F(ExecutorStopsTest, OwnersRepetitionNeitherHastensNorDelaysTheNextStop) {
+// An owner that repeats its order must neither flood the runner with stops nor
+// delay the next one.
+TEST_F(ExecutorStopsTest, RepeatedOrderNeitherHastensNorDelaysTheNextStop) {
   StartAndStop();
   for (int i = 0; i < 8; ++i) {
     AdvanceAnsweringPolls(milliseconds(100));
@@ -101,7 +103,7 @@
 TEST_F(ExecutorStopsTest, StopThatTakesEffectSoonIsNotRepeated) {
   StartAndStop();
   AdvanceAnsweringPolls(milliseconds(400));
-  runs_on_ = false;
+  running_ = false;
   AdvanceAnsweringPolls(seconds(3));
   EXPECT_THAT(stops_, IsEmpty());
   EXPECT_EQ(executor_->counts().stops_ineffective, 0);
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -8,10 +8,11 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
-// Runners register over some seconds after a start of everything: in that time
-// the executors of 570 of 800 VMs took their owner for lost, since it gave them
-// no lease, and asked the table on their own for the rest of their lives.
-TEST_F(ExecutorTest, OwnerIsHeardThoughThereIsNoRunnerToGiveALeaseTo) {
+// After a start of the whole fleet, runners take several seconds to register.
+// Their executors get no leases until then. If only lease renewals counted as
+// signs of the owner, executors would treat their owner as lost (570 of 800 VMs
+// in one start) and keep querying the table from then on.
+TEST_F(ExecutorTest, OwnerWithoutARunnerToGrantLeasesToCountsAsHeard) {
   AdvanceTime(std::chrono::seconds(3));
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
   for (int i = 0; i < 4; ++i) {
@@ -21,15 +22,15 @@
   }
 }
 
-TEST_F(ExecutorTest, EarlierOwnerIsNotHeard) {
+TEST_F(ExecutorTest, EarlierOwnerDoesNotCountAsHeard) {
   executor_->OnMessage(kLink, ::beamhill::Attach{"b", 2});
   AdvanceTime(std::chrono::seconds(3));
   executor_->OnMessage(kLink + 1, ::beamhill::Attach{"a", 1});
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
 }
 
-TEST_F(ExecutorTest, InventoryIsAskedOfTheRunnerUnderTheNewEpoch) {
-  Register("life-1");
+TEST_F(ExecutorTest, RunnerIsPolledForTheInventoryUnderTheNewEpoch) {
+  Register("incarnation-1");
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 3});
   AnswerPoll({{kRun, 100, 0}});
   EXPECT_EQ(last_poll_.epoch, 3);
@@ -38,7 +39,7 @@
 }
 
 TEST_F(ExecutorTest, LowerEpochIsNotObeyed) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(3);
   executor_->OnMessage(2, ::beamhill::Attach{"b", 2});
   EXPECT_EQ(executor_->epoch(), 3);
@@ -46,18 +47,18 @@
   EXPECT_THAT(starts_, IsEmpty());
 }
 
-TEST_F(ExecutorTest, StartCarriesALeaseThatIsNotLongerThanGranted) {
-  Register("life-1");
+TEST_F(ExecutorTest, StartCarriesALeaseNotLongerThanGranted) {
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   ASSERT_THAT(starts_, SizeIs(1));
-  // The runner's clock read 1000 ms; it may be slow by 2 %.
+  // The runner's clock reads 1000 ms and may be slow by 2 %.
   EXPECT_LE(starts_[0].first.lease_end, RunnerClock(1000 + 4900));
   EXPECT_GT(starts_[0].first.lease_end, RunnerClock(1000 + 4500));
 }
 
 TEST_F(ExecutorTest, NoStartWithoutALease) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   now_ += seconds(6);
   Start(kRun, 1);
@@ -67,13 +68,14 @@
             NotBegunReason::kOutdated);
 }
 
-// An order that was held up on its way: the owner may know better by now.
-TEST_F(ExecutorTest, NoStartByAnOrderThatComesTooLate) {
-  Register("life-1");
+// The owner may have placed the task elsewhere by the time that a delayed order
+// arrives.
+TEST_F(ExecutorTest, NoStartAfterTheLatestStartTime) {
+  Register("incarnation-1");
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.life = "incarnation-1";
   starts.workflow = kRun.task.workflow;
   starts.runs = {{kRun.task.index, kRun.run, "", ""}};
   starts.latest_start = now_ + seconds(2);
@@ -85,14 +87,14 @@
             NotBegunReason::kOutdated);
 }
 
-// Callers count what waits: the owner hears of the first task that has begun,
-// not of each.
-TEST_F(ExecutorTest, FirstBeginOfAWorkflowIsReportedWhereItIsWanted) {
-  Register("life-1");
+// Callers count waiting workflows, so only the first task that begins is
+// reported.
+TEST_F(ExecutorTest, FirstBeginOfAWorkflowIsReportedOnRequest) {
+  Register("incarnation-1");
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.life = "incarnation-1";
   starts.workflow = "w";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.report_begin = true;
@@ -103,11 +105,11 @@
   EXPECT_THAT(Sent<RunReports>()[0].begun, testing::ElementsAre(kRun));
 }
 
-// A runner leaves as many starts unanswered as it takes at a time. The
-// next must not follow once the runner has said that it leaves: the owner
-// places nothing there any more.
-TEST_F(ExecutorTest, StartThatWaitsIsNotSentToARunnerThatLeaves) {
-  Register("life-1");
+// The limit of starts in flight is used up. The queued start must not be sent
+// once the runner has announced its exit, since the owner places nothing there
+// any more.
+TEST_F(ExecutorTest, QueuedStartIsNotSentToALeavingRunner) {
+  Register("incarnation-1");
   Attach(1);
   const size_t open = RunnerLimits{}.starts;
   for (uint32_t i = 0; i <= open; ++i) Start({{"w", 0, 0, i}, 1}, 1);
@@ -122,15 +124,15 @@
             NotBegunReason::kOutdated);
 }
 
-// The bound on waiting holds also while no call ends.
-TEST_F(ExecutorTest, StartsThatWaitTooLongAreGivenBackWithoutAnyAnswer) {
-  Register("life-1");
+// The limit on queueing time also holds while no call is answered.
+TEST_F(ExecutorTest, StartsQueuedTooLongAreReturnedWithoutAnyAnswer) {
+  Register("incarnation-1");
   Attach(1);
   const size_t open = RunnerLimits{}.starts;
   for (uint32_t i = 0; i < open; ++i) Start({{"w", 0, 0, i}, 1}, 1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.life = "incarnation-1";
   starts.workflow = "late";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.latest_start = now_ + seconds(1);
@@ -151,7 +153,7 @@
                             public testing::WithParamInterface<RefusalCase> {};
 
 TEST_P(ExecutorRefusalTest, RefusalIsReportedWithItsReason) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   starts_[0].second({GetParam().verdict, std::nullopt});
@@ -170,10 +172,10 @@
         RefusalCase{RunnerVerdict::kUnreachable,
                     NotBegunReason::kUnreachable}));
 
-TEST_F(ExecutorTest, UnansweredStartThatRunsIsTakenAsStarted) {
-  Register("life-1");
+TEST_F(ExecutorTest, UnansweredStartIsResolvedByAPollThatListsTheRun) {
+  Register("incarnation-1");
   Attach(1);
-  AnswerPoll();  // The one that was open; the next is open now.
+  AnswerPoll();  // Already in flight; another one is sent now.
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
@@ -184,12 +186,12 @@
 }
 
 TEST_F(ExecutorTest, UnansweredStartIsStoppedBeforeItIsGivenUp) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  AnswerPoll();  // Sent before the start, so it tells nothing.
+  AnswerPoll();  // Sent before the start, so it decides nothing.
   EXPECT_THAT(stops_, IsEmpty());
   AnswerPoll();
   ASSERT_THAT(stops_, SizeIs(1));
@@ -203,35 +205,36 @@
 }
 
 TEST_F(ExecutorTest, UnansweredStopIsRepeated) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
-  executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}});
+  executor_->OnMessage(kLink, StopRuns{1, "incarnation-1", {kRun}});
   ASSERT_THAT(stops_, SizeIs(1));
   stops_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
   AdvanceTime(milliseconds(500));
   EXPECT_THAT(stops_, SizeIs(2));
 }
 
-TEST_F(ExecutorTest, EndsAreForgottenOnlyWhenSettled) {
-  Register("life-1");
+TEST_F(ExecutorTest, EndsAreForgottenOnlyWhenAcknowledged) {
+  Register("incarnation-1");
   Attach(1);
   AnswerPoll();
-  executor_->OnMessage(kLink, EndsSettled{1, "life-1", 4});
-  executor_->OnMessage(kLink, EndsSettled{1, "another life", 9});
+  executor_->OnMessage(kLink, EndsSettled{1, "incarnation-1", 4});
+  executor_->OnMessage(kLink, EndsSettled{1, "other-incarnation", 9});
   AnswerPoll();
-  EXPECT_EQ(last_poll_.acknowledged_through, 0);  // Sent before it was settled.
+  // Sent before the acknowledgement.
+  EXPECT_EQ(last_poll_.acknowledged_through, 0);
   AnswerPoll();
   EXPECT_EQ(last_poll_.acknowledged_through, 4);
 }
 
 TEST_F(ExecutorTest, EndIsReportedOnceForEachLink) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   const RunEnd end{1, kRun, RunEndKind::kDone, ""};
   AnswerPoll({}, {end});
   AnswerPoll({}, {end});
   EXPECT_THAT(Sent<RunReports>(), SizeIs(1));
-  // On a new link the inventory tells it again.
+  // On a new link the inventory reports it again.
   executor_->OnMessage(2, ::beamhill::Attach{"a", 1});
   AnswerPoll({}, {end});
   AnswerPoll({}, {end});
@@ -239,20 +242,20 @@
   EXPECT_THAT(Sent<VmInventory>()[1].ended, SizeIs(1));
 }
 
-TEST_F(ExecutorTest, OrdersForAnotherLifeAreDropped) {
-  Register("life-1");
+TEST_F(ExecutorTest, OrdersForAnotherIncarnationAreDropped) {
+  Register("incarnation-1");
   Attach(1);
-  Register("life-2");
+  Register("incarnation-2");
   StartRuns starts;
   starts.epoch = 1;
-  starts.life = "life-1";
+  starts.life = "incarnation-1";
   starts.runs = {{0, 1, "", ""}};
   executor_->OnMessage(kLink, starts);
   EXPECT_THAT(starts_, IsEmpty());
 }
 
-TEST_F(ExecutorTest, NoHeartbeatWhileTheRunnerIsOutOfReach) {
-  Register("life-1");
+TEST_F(ExecutorTest, NoHeartbeatWhileTheRunnerIsUnreachable) {
+  Register("incarnation-1");
   Attach(1);
   AdvanceTime(seconds(2));
   sent_.clear();
@@ -260,11 +263,11 @@
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
-// Starts that nobody took counted as answers, so that the lease of a runner
-// that was gone for good was renewed as long as work was offered to it (a day
-// of the users' bench with runners that crash: tasks were away for 25 s).
-TEST_F(ExecutorTest, CallsThatNobodyTakesAreNotASignOfLife) {
-  Register("life-1");
+// If undelivered starts counted as answers, the lease of a runner that is gone
+// would be renewed for as long as starts are sent to it, which delayed the
+// restart of its tasks by 25 s in a simulated day with crashing runners.
+TEST_F(ExecutorTest, UndeliveredCallsDoNotCountAsAnswers) {
+  Register("incarnation-1");
   Attach(1);
   for (uint64_t run = 1; run <= 10; ++run) {
     executor_->OnMessage(kLink, RenewLease{1, now_, seconds(5)});
@@ -277,11 +280,11 @@
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
-// A new owner waited out every lease that its predecessor might have granted,
-// though the executor that alone could have passed them on was there to ask
-// (a hunted day: tasks away for 25 s after a runner and the owner were lost).
-TEST_F(ExecutorTest, SilentRunnerIsReportedEmptyOnceItsLeasesAreOver) {
-  Register("life-1");
+// After the loss of a runner and its owner, a new owner need not wait out every
+// lease that its predecessor may have granted, since only this executor passes
+// leases on. Without the report, tasks were down for 25 s in a simulated day.
+TEST_F(ExecutorTest, SilentRunnerIsReportedEmptyOnceItsLeasesExpired) {
+  Register("incarnation-1");
   Attach(1);  // Grants 5 s.
   executor_->OnMessage(2, ::beamhill::Attach{"b", 2});
   sent_.clear();
@@ -293,7 +296,7 @@
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
 }
 
-TEST_F(ExecutorTest, RestartedExecutorWaitsOutLeasesThatItDoesNotKnow) {
+TEST_F(ExecutorTest, RestartedExecutorWaitsOutUnknownLeases) {
   now_ += seconds(100);
   ExecutorOptions options;
   TaskRunner silent;
@@ -312,11 +315,11 @@
   EXPECT_THAT(Sent<VmInventory>(), SizeIs(1));
 }
 
-TEST_F(ExecutorTest, RunnerThatLeftIsReportedEmptyAfterAPause) {
-  Register("life-1");
+TEST_F(ExecutorTest, LeavingRunnerIsReportedEmptyAfterADelay) {
+  Register("incarnation-1");
   Attach(1);
   sent_.clear();
-  executor_->OnRunnerLeaving("life-1");
+  executor_->OnRunnerLeaving("incarnation-1");
   AdvanceTime(milliseconds(300));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   AdvanceTime(milliseconds(400));
@@ -328,10 +331,10 @@
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
 }
 
-// What an image may still use goes to the first in the order: two that share
-// it would both be late.
-TEST_F(ExecutorTest, FirstFillerInTheOrderKeepsItsPaceLongest) {
-  Register("life-1");
+// The reduced share of an image goes to the run with the lowest rank; if two
+// runs shared it, both would be late.
+TEST_F(ExecutorTest, LowestBestEffortRankKeepsItsPaceLongest) {
+  Register("incarnation-1");
   Attach(1);
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const RunRef later{{"later", 0, 0, 0}, 1};
@@ -341,17 +344,17 @@
   Start(serving, 1, milliseconds(20));
   AnswerAll(starts_);
   AdvanceTime(milliseconds(300));
-  // Near its target: the image is to use two thirds of what it asks for.
+  // Near its target: the image is reduced to two thirds of what it requests.
   AnswerPoll({{later, 100, 2000}, {first, 100, 2000}, {serving, 100, 19}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.run, later);
   EXPECT_LT(paces_[0].first.percent, 50);
 }
 
-TEST_F(ExecutorTest, ProcessorTimeThatIsShortGoesToTheFirstFillers) {
-  Register("life-1");
+TEST_F(ExecutorTest, ScarceCpuGoesToTheLowestBestEffortRanks) {
+  Register("incarnation-1");
   Attach(1);
-  // Five fillers of two cores each on eight cores, and nothing that serves.
+  // Five best-effort runs of two cores each on eight cores, no serving task.
   std::vector<RunningRun> running;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunRef run{{"w", 0, 0, i}, 1};
@@ -361,7 +364,7 @@
   AnswerAll(starts_);
   AdvanceTime(milliseconds(300));
   AnswerPoll(running);
-  // The last one gets its least share, and all others what is left.
+  // The highest rank gets the minimum share, and the others what remains.
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[0].first.run.task.index, 1);
   EXPECT_EQ(paces_[0].first.percent, 90);
@@ -369,7 +372,7 @@
   EXPECT_EQ(paces_[1].first.percent, 10);
 }
 
-TEST_F(ExecutorTest, FillerIsPacedWhenItsNeighbourSuffers) {
+TEST_F(ExecutorTest, BestEffortRunIsSlowedWhenAServingTaskExceedsItsTarget) {
   RunBestEffortBesideSlowService();
   ASSERT_FALSE(paces_.empty());
   EXPECT_EQ(paces_[0].first.run, kRun);
@@ -377,14 +380,14 @@
   EXPECT_FALSE(Sent<VmPressure>().empty());
 }
 
-// It may work at full speed: an order that was lost is given again, however
-// slow the filler is to be.
+// The run may be at full pace if the order was lost, so the order is repeated,
+// however low the pace is.
 TEST_F(ExecutorTest, UnansweredPaceIsOrderedAgain) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1, {}, /*best_effort=*/true);
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
-  // Another task leaves nothing of eight cores: the least share remains.
+  // Another task uses all eight cores, which leaves the minimum share.
   const std::vector<RunningRun> running = {
       {kRun, 100, 0}, {{{"other", 0, 0, 0}, 1}, 100, 8000}};
   AdvanceTime(milliseconds(300));
@@ -398,10 +401,10 @@
   EXPECT_EQ(paces_[1].first.percent, 10);
 }
 
-// It was slow, and may have been carried out after the newer one: the filler
-// would crawl while it counts as being at its whole pace, and no look shows it.
-TEST_F(ExecutorTest, PaceThatIsAnsweredAfterANewerOneIsFollowedByAnother) {
-  Register("life-1");
+// The older order may have taken effect after the newer one. The run would then
+// stay slow while recorded at full pace, and polls would not show that.
+TEST_F(ExecutorTest, PaceAnsweredAfterANewerOneIsOrderedAgain) {
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1, {}, /*best_effort=*/true);
   AnswerAll(starts_);
@@ -427,9 +430,8 @@
   EXPECT_THAT(paces_, SizeIs(3));
 }
 
-// An order that was carried out late undoes a newer one: the next looks show
-// it.
-TEST_F(ExecutorTest, FillerThatWorksThoughItRestsIsOrderedAgain) {
+// A delayed order can undo a newer one; the next polls show that.
+TEST_F(ExecutorTest, PausedRunThatIsActiveIsPausedAgain) {
   RunBestEffortBesideSlowService();
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const auto answer_slow_service = [&](int64_t use) {
@@ -444,40 +446,40 @@
   ASSERT_EQ(last_pace_, 0);
   last_pace_ = -1;
   for (int i = 0; i < 3; ++i) answer_slow_service(0);
-  EXPECT_EQ(last_pace_, -1);  // All is as ordered.
+  EXPECT_EQ(last_pace_, -1);  // The run is paused as ordered.
   for (int i = 0; i < 3; ++i) answer_slow_service(2000);
   EXPECT_EQ(last_pace_, 0);
 }
 
-// What an earlier run of this process has ordered isn't known.
-TEST_F(ExecutorTest, PaceOfARunFromBeforeARestartIsOrderedAnew) {
-  Register("life-1");
+// The pace ordered by an earlier incarnation of this process is unknown.
+TEST_F(ExecutorTest, PaceOfARunFromBeforeARestartIsOrderedAgain) {
+  Register("incarnation-1");
   Attach(1);
-  RunTraitsList list{1, "life-1", {{kRun, {"img", true, {}, 2000, 0}}}};
+  RunTraitsList list{1, "incarnation-1", {{kRun, {"img", true, {}, 2000, 0}}}};
   executor_->OnMessage(kLink, list);
   AnswerPoll({{kRun, 0, 0}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.percent, 100);
 }
 
-// A registration that a cut has held up arrives when its sender has crashed and
-// a new life has registered: it must not bring the dead one back.
-TEST_F(ExecutorTest, LateRegistrationOfAnEarlierLifeChangesNothing) {
-  Register("life-1");
-  Register("life-2");
+// A network partition delays a registration until its sender has crashed and a
+// new incarnation has registered. The earlier one must not replace the new one.
+TEST_F(ExecutorTest, DelayedRegistrationOfAnEarlierIncarnationIsIgnored) {
+  Register("incarnation-1");
+  Register("incarnation-2");
   Attach(1);
   Start(kRun, 1);
   ASSERT_THAT(starts_, SizeIs(1));
-  Register("life-1");
-  EXPECT_EQ(executor_->status().life, "life-2");
+  Register("incarnation-1");
+  EXPECT_EQ(executor_->status().life, "incarnation-2");
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
-  Register("life-3");
-  Register("life-2");
-  EXPECT_EQ(executor_->status().life, "life-3");
+  Register("incarnation-3");
+  Register("incarnation-2");
+  EXPECT_EQ(executor_->status().life, "incarnation-3");
 }
 
-// It begins at full speed, and until the next look nobody would hold it.
-TEST_F(ExecutorTest, NewFillerIsHeldToThePaceOfItsImageAtOnce) {
+// The run begins at full pace, and would keep it until the next poll.
+TEST_F(ExecutorTest, NewBestEffortRunIsPacedAtOnce) {
   RunBestEffortBesideSlowService();
   AnswerAll(paces_);
   const RunRef fresh{{"fresh", 0, 0, 0}, 1};
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -1,8 +1,8 @@
-// An Executor beside a runner whose answers the test gives, under an owner that
-// records what it is told; for the Executor's tests.
+// Fixture for tests of Executor: the test answers the calls to the runner
+// itself, and messages to the owner are recorded.
 //
-//   TEST_F(ExecutorTest, StartsWhatItIsTold) {
-//     Register("life-1");
+//   TEST_F(ExecutorTest, StartIsSentToTheRunner) {
+//     Register("incarnation-1");
 //     Attach(1);
 //     Start(kRun, 1);
 //     EXPECT_THAT(starts_, SizeIs(1));
@@ -28,7 +28,6 @@
 inline constexpr uint64_t kLink = 1;
 inline const RunRef kRun{{"w", 0, 0, 0}, 1};
 
-// A runner whose answers the test gives, and an owner that records.
 class ExecutorTest : public testing::Test {
  protected:
   ExecutorTest() {
@@ -67,7 +66,7 @@
     executor_->OnRunnerRegistered(status, RunnerClock(1000));
   }
 
-  // The oldest open look is answered with what runs and what has ended.
+  // Answers the oldest poll in flight; waits up to 2 s for one to be sent.
   void AnswerPoll(std::vector<RunningRun> running = {},
                   std::vector<RunEnd> ended = {}) {
     for (int i = 0; polls_.empty() && i < 20; ++i) {
@@ -104,7 +103,7 @@
     executor_->OnMessage(kLink, starts);
   }
 
-  // All open calls are carried out, and those that waited for their turn.
+  // Answers all calls in flight as done, including those sent meanwhile.
   template <typename Calls>
   static void AnswerAll(Calls& calls) {
     while (!calls.empty()) {
@@ -114,9 +113,10 @@
     }
   }
 
-  // For 1.2 s, kRun fills beside a serving task that is far over its target.
+  // For 1.2 s, runs kRun as a best-effort run beside a serving task that is far
+  // over its target.
   void RunBestEffortBesideSlowService() {
-    Register("life-1");
+    Register("incarnation-1");
     Attach(1);
     const RunRef serving{{"w", 0, 0, 1}, 1};
     Start(kRun, 1, {}, /*best_effort=*/true);
--- a/beamhill/executor/latency_guard_test.cc
+++ b/beamhill/executor/latency_guard_test.cc
@@ -12,7 +12,8 @@
 
 class LatencyGuardTest : public testing::Test {
  protected:
-  // The same tails for a while, looked at every 250 ms.
+  // Feeds the same tails, in milliseconds, for `time`, with a poll every 250
+  // ms.
   void Observe(Duration time, const std::vector<int>& tails) {
     std::vector<ServingSample> serving;
     serving.reserve(tails.size());
@@ -30,7 +31,7 @@
   LatencyGuard guard_;
 };
 
-TEST_F(LatencyGuardTest, ShortOverrunsAreLeftAlone) {
+TEST_F(LatencyGuardTest, ShortOverrunsDoNotCauseAPause) {
   for (int i = 0; i < 10; ++i) {
     Observe(milliseconds(1500), {60});
     EXPECT_FALSE(guard_.paused());
@@ -38,19 +39,19 @@
   }
 }
 
-TEST_F(LatencyGuardTest, RestsWithinTwoAndAQuarterSeconds) {
+TEST_F(LatencyGuardTest, PausesWithinTwoAndAQuarterSeconds) {
   Observe(milliseconds(2250), {25});
   EXPECT_TRUE(guard_.paused());
 }
 
-TEST_F(LatencyGuardTest, RestsSoonerWhereHarmCountsSooner) {
+TEST_F(LatencyGuardTest, PausesSoonerWhereHarmCountsSooner) {
   guard_ = LatencyGuard(seconds(2));
   Observe(milliseconds(1250), {25});
   EXPECT_TRUE(guard_.paused());
 }
 
-// Two tasks of an image whose loads peak in turn: the image is never clear.
-TEST_F(LatencyGuardTest, TurnsOfTwoTasksAreOneOverrun) {
+// Two tasks of one image peak alternately, so the image is never below target.
+TEST_F(LatencyGuardTest, AlternatingOverrunsOfTwoTasksCountAsOne) {
   for (int i = 0; i < 5; ++i) {
     Observe(milliseconds(250), {30, 10});
     Observe(milliseconds(250), {10, 30});
@@ -58,7 +59,7 @@
   EXPECT_TRUE(guard_.paused());
 }
 
-TEST_F(LatencyGuardTest, RestEndsOnceTheTailIsDown) {
+TEST_F(LatencyGuardTest, PauseEndsOnceTheTailIsLow) {
   Observe(milliseconds(2250), {60});
   ASSERT_TRUE(guard_.paused());
   Observe(milliseconds(500), {30});
@@ -68,18 +69,18 @@
   EXPECT_FALSE(guard_.last_pause_ineffective());
 }
 
-TEST_F(LatencyGuardTest, RestThatChangesNothingEnds) {
+TEST_F(LatencyGuardTest, IneffectivePauseEnds) {
   Observe(milliseconds(2250), {60});
   Observe(milliseconds(1500), {60});
   EXPECT_FALSE(guard_.paused());
   EXPECT_TRUE(guard_.last_pause_ineffective());
-  // It is tried again: the fillers may have come to matter.
+  // Another pause follows: best-effort runs may have become the cause.
   Observe(milliseconds(2250), {60});
   EXPECT_TRUE(guard_.paused());
 }
 
-// An order to rest may be lost.
-TEST_F(LatencyGuardTest, RestCountsFromWhenNoFillerWorks) {
+// An order to pause may be lost.
+TEST_F(LatencyGuardTest, PauseIsTimedFromWhenNoBestEffortRunIsActive) {
   Observe(milliseconds(2250), {60});
   for (int i = 0; i < 8; ++i) {
     now_ += milliseconds(250);
@@ -90,7 +91,7 @@
   EXPECT_FALSE(guard_.paused());
 }
 
-TEST_F(LatencyGuardTest, TaskWithoutATargetCountsForNothing) {
+TEST_F(LatencyGuardTest, TaskWithoutATargetIsIgnored) {
   for (int i = 0; i < 20; ++i) {
     now_ += milliseconds(250);
     guard_.Observe({{"web", milliseconds(500), Duration(0)}}, true, now_);
--- a/beamhill/executor/pacer_test.cc
+++ b/beamhill/executor/pacer_test.cc
@@ -16,8 +16,8 @@
 
 class PacerTest : public testing::Test {
  protected:
-  // Observes the same figures for a while, every 250 ms; images by what they
-  // use.
+  // Feeds the same measurements for `time`, every 250 ms. `used` is the share
+  // of the VM that each best-effort image uses.
   void Observe(Duration time, Duration tail,
                const std::map<std::string, double>& used) {
     Pacer::BestEffortShares best_effort;
@@ -35,22 +35,22 @@
   }
 
   TimePoint now_{std::chrono::hours(1)};
-  double requested_ = 0.5;  // By each filling image, of the whole VM.
+  double requested_ = 0.5;  // Share of the VM, by each best-effort image.
   Pacer pacer_;
 };
 
-TEST_F(PacerTest, LeavesFillersAloneUnderTheTarget) {
+TEST_F(PacerTest, KeepsFullPaceUnderTheTarget) {
   Observe(seconds(5), milliseconds(10), {{"f", 0.5}});
   EXPECT_EQ(pacer_.PacePercent("f"), 100);
 }
 
-// The users count a serving task as harmed after 4 s over its target.
-TEST_F(PacerTest, StopsFillersLongBeforeHarmCounts) {
+// Users count a serving task as harmed after 4 s over its target.
+TEST_F(PacerTest, PausesLongBeforeHarmCounts) {
   Observe(milliseconds(2500), milliseconds(40), {{"f", 0.5}});
   EXPECT_EQ(pacer_.PacePercent("f"), 0);
 }
 
-TEST_F(PacerTest, GivesBackStepByStep) {
+TEST_F(PacerTest, IncreasesPacesStepByStep) {
   Observe(seconds(3), milliseconds(40), {{"f", 0.5}});
   Observe(seconds(1), milliseconds(5), {{"f", 0}});
   const int first = pacer_.PacePercent("f");
@@ -60,7 +60,7 @@
   EXPECT_EQ(pacer_.PacePercent("f"), 100);
 }
 
-TEST_F(PacerTest, CutsTheCulpritAndSparesTheRest) {
+TEST_F(PacerTest, ReducesOnlyTheMainSource) {
   pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(100)},
                                  {{"web", "light"}, milliseconds(1)}});
   Observe(milliseconds(500), milliseconds(25),
@@ -69,7 +69,7 @@
   EXPECT_EQ(pacer_.PacePercent("light"), 100);
 }
 
-TEST_F(PacerTest, CutsAllWhenWhatIsKnownDoesNotHelp) {
+TEST_F(PacerTest, ReducesAllWhenTheKnownSourceIsNotEnough) {
   pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(100)},
                                  {{"web", "light"}, milliseconds(1)}});
   Observe(milliseconds(3500), milliseconds(25),
@@ -77,9 +77,9 @@
   EXPECT_LT(pacer_.PacePercent("light"), 50);
 }
 
-// What is known may be wrong and single samples are rough: the one filler here
-// passes for harmless, and every third sample looks fine.
-TEST_F(PacerTest, RestsAllFillersBeforeHarmCountsWhateverIsKnown) {
+// Weights may be wrong and single samples are imprecise: by its weight the only
+// image counts as harmless, and every third sample is below the target.
+TEST_F(PacerTest, PausesAllBeforeHarmCountsDespiteTheWeights) {
   pacer_.SetInterferenceWeights({{{"web", "light"}, milliseconds(1)}});
   for (int i = 0; i < 3; ++i) {
     Observe(milliseconds(500), milliseconds(25), {{"light", 0.3}});
@@ -89,8 +89,8 @@
   EXPECT_EQ(pacer_.PacePercent("light"), 0);
 }
 
-// A rest that changes nothing shows that the load is the service's own.
-TEST_F(PacerTest, HarmlessFillersWorkOnWhereARestDidNotHelp) {
+// If pausing does not lower the tail, the load is the service's own.
+TEST_F(PacerTest, RestoresHarmlessImagesAfterAnIneffectivePause) {
   pacer_.SetInterferenceWeights({{{"web", "light"}, milliseconds(1)},
                                  {{"web", "heavy"}, milliseconds(100)}});
   Observe(milliseconds(2500), milliseconds(25), {{"light", 0}, {"heavy", 0}});
@@ -100,21 +100,21 @@
   EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
 }
 
-TEST_F(PacerTest, GivesByWhatAllTasksOfAnImageAskFor) {
+TEST_F(PacerTest, IncreasesByTheRequestsOfAllTasksOfAnImage) {
   Observe(seconds(3), milliseconds(40), {{"heavy", 0.5}});
   ASSERT_EQ(pacer_.PacePercent("heavy"), 0);
   pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(120)}});
-  // A step of 12 % of half the VM would add 7.2 ms to 12.
+  // A step of 12 % of half the VM would add 7.2 ms to the tail of 12 ms.
   requested_ = 0.5;
   Observe(seconds(3), milliseconds(12), {{"heavy", 0}});
   EXPECT_EQ(pacer_.PacePercent("heavy"), 0);
-  // Of a tenth of it, 1.4 ms.
+  // A step of 12 % of a tenth of the VM would add 1.4 ms.
   requested_ = 0.1;
   Observe(seconds(1), milliseconds(12), {{"heavy", 0}});
   EXPECT_GT(pacer_.PacePercent("heavy"), 0);
 }
 
-TEST_F(PacerTest, KnownCulpritIsNotGivenBackOverTheTarget) {
+TEST_F(PacerTest, KnownSourceIsNotIncreasedBeyondTheTarget) {
   Observe(seconds(3), milliseconds(40), {{"heavy", 0.5}});
   ASSERT_EQ(pacer_.PacePercent("heavy"), 0);
   pacer_.SetInterferenceWeights({{{"web", "heavy"}, milliseconds(500)}});
--- a/beamhill/executor/vm_registration_test.cc
+++ b/beamhill/executor/vm_registration_test.cc
@@ -72,7 +72,7 @@
   EXPECT_EQ(writes(), 1);
 }
 
-TEST_F(VmRegistrationTest, AnotherAddressIsStored) {
+TEST_F(VmRegistrationTest, ChangedAddressIsStored) {
   const auto first = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *first);
   const auto moved = Make("10.0.0.2:1");
@@ -80,8 +80,8 @@
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
-// An earlier process wrote its address without an answer, was replaced at
-// another one, and the table carries the write out only now.
+// An earlier process got no answer to the write of its address and was replaced
+// by one with another address before the table carries out that write.
 TEST_F(VmRegistrationTest, LateWriteDoesNotBringAnEarlierAddressBack) {
   Table late = table_.AsTable();
   Transaction held;
@@ -96,9 +96,9 @@
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
-// At once and again at the same pace, hundreds of VMs keep a table busy with
-// refusals.
-TEST_F(VmRegistrationTest, RefusalsAreRepeatedAfterPausesThatGrow) {
+// With immediate retries at a constant rate, hundreds of VMs would overload the
+// table.
+TEST_F(VmRegistrationTest, FailedCallsAreRetriedWithGrowingBackoff) {
   Table refusing = table_.AsTable();
   int reads = 0;
   const auto read = refusing.read;
@@ -116,8 +116,8 @@
   EXPECT_TRUE(registration->stored());
 }
 
-// A removal of an earlier process takes effect late; no owner finds the VM.
-TEST_F(VmRegistrationTest, RowThatGoesMissingIsStoredAgainWhileNoOwnerComes) {
+// A removal by an earlier process takes effect late, so no owner finds the VM.
+TEST_F(VmRegistrationTest, MissingRowIsStoredAgainWhileNoOwnerIsHeard) {
   const auto registration = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *registration);
   table_.model().Commit({{}, {{kKey, kAnyVersion, std::nullopt}}});
@@ -126,7 +126,7 @@
   EXPECT_EQ(AddressIn(kKey), "10.0.0.1:1");
 }
 
-TEST_F(VmRegistrationTest, OwnedVmAsksTheTableNothing) {
+TEST_F(VmRegistrationTest, OwnedVmSendsNoRequestsToTheTable) {
   const auto registration = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *registration);
   const uint64_t reads = table_.model().counts().reads;
@@ -134,12 +134,13 @@
   EXPECT_EQ(table_.model().counts().reads, reads);
 }
 
-TEST_F(VmRegistrationTest, VmThatGoesForGoodLeavesNoRowOfAnyVersion) {
+TEST_F(VmRegistrationTest, WithdrawalRemovesRowsOfAllVersions) {
   table_.model().Commit(
       {{}, {{kLegacyKey, 0, EncodeRecord(VmRecord{"vm-1", "10.0.0.1:1"})}}});
   const auto registration = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *registration);
-  EXPECT_EQ(AddressIn(kLegacyKey), "10.0.0.1:1");  // For earlier owners.
+  // Kept for owners of earlier versions.
+  EXPECT_EQ(AddressIn(kLegacyKey), "10.0.0.1:1");
   bool done = false;
   registration->Withdraw([&] { done = true; });
   table_.Deliver();
@@ -149,7 +150,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, WithdrawalEndsThoughTheTableIsDown) {
+TEST_F(VmRegistrationTest, WithdrawalCompletesWhileTheTableIsDown) {
   const auto registration = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *registration);
   table_.set_fault(TableFault::kDown);
@@ -159,8 +160,9 @@
   EXPECT_TRUE(done);
 }
 
-// Owners would dial the VM for good, and each new one would wait for it.
-TEST_F(VmRegistrationTest, RowWhoseStoreWasNotAnsweredGoesWithTheVm) {
+// Otherwise owners would keep connecting to the VM, and each new owner would
+// wait for it.
+TEST_F(VmRegistrationTest, WithdrawalRemovesARowWhoseWriteWasNotAnswered) {
   table_.LoseNextCommitAnswer();
   const auto registration = Make("10.0.0.1:1");
   registration->Tick();
@@ -174,7 +176,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, RowThatIsBeingStoredGoesWithTheVm) {
+TEST_F(VmRegistrationTest, WithdrawalRemovesARowThatIsBeingWritten) {
   Table slow = table_.AsTable();
   std::vector<std::function<void()>> held;
   slow.commit = [&held, commit = slow.commit](Transaction transaction,
@@ -196,7 +198,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, RemovalThatGotLostIsRepeated) {
+TEST_F(VmRegistrationTest, RemovalWithUnknownOutcomeIsRepeated) {
   Table losing = table_.AsTable();
   bool lose = false;
   losing.commit = [&lose, commit = losing.commit](Transaction transaction,
@@ -217,7 +219,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, WithdrawalLeavesTheRowOfALaterProcess) {
+TEST_F(VmRegistrationTest, WithdrawalKeepsTheRowOfALaterProcess) {
   const auto first = Make("10.0.0.1:1");
   AdvanceTime(seconds(1), *first);
   const auto next = Make("10.0.0.2:1");
