--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -13,13 +13,13 @@
 
 // Number of earlier incarnations kept to recognize their delayed registrations.
 // Those arrive seconds late, and a runner takes longer than that to restart.
-constexpr size_t kMaxEarlierIncarnations = 16;
+constexpr size_t kMaxEarlierIds = 16;
 
 // How long past incarnations are reported to each owner that attaches: one that
 // takes over while a runner fails needs what its predecessor would have been
 // told. Owners that attach later find it in the table.
 constexpr Duration kPastIncarnationRetention = std::chrono::seconds(30);
-constexpr size_t kMaxPastIncarnations = 16;
+constexpr size_t kMaxPastRecords = 16;
 
 bool SameStatus(const VmStatus& a, const VmStatus& b) {
   return a.life == b.life && a.service == b.service && a.hall == b.hall &&
@@ -67,20 +67,17 @@
   if (status_.life.empty()) return;
   const TimePoint now = hooks_.now();
   PastLife past = incarnation_record_.Describe(status_.life, IsLeaving());
-  if (!past_incarnations_.empty() &&
-      past_incarnations_.back().second.life == past.life) {
+  if (!past_records_.empty() && past_records_.back().second.life == past.life) {
     // Recorded before, when it was silent; it may since have answered and begun
     // more runs.
-    const bool same =
-        past_incarnations_.back().second.just_begun == past.just_begun;
-    past_incarnations_.pop_back();
-    past_incarnations_.emplace_back(now, past);
+    const bool same = past_records_.back().second.just_begun == past.just_begun;
+    past_records_.pop_back();
+    past_records_.emplace_back(now, past);
     if (same) return;
   } else {
-    past_incarnations_.emplace_back(now, past);
+    past_records_.emplace_back(now, past);
   }
-  if (past_incarnations_.size() > kMaxPastIncarnations)
-    past_incarnations_.pop_front();
+  if (past_records_.size() > kMaxPastRecords) past_records_.pop_front();
   if (past.announced) return;
   ++counts_.runners_lost;
   const auto silent_ms = static_cast<int64_t>(ToMillis(now - last_answer_));
@@ -90,9 +87,9 @@
 }
 
 void Executor::ForgetPastIncarnations(TimePoint now) {
-  while (!past_incarnations_.empty() &&
-         now - past_incarnations_.front().first > kPastIncarnationRetention) {
-    past_incarnations_.pop_front();
+  while (!past_records_.empty() &&
+         now - past_records_.front().first > kPastIncarnationRetention) {
+    past_records_.pop_front();
   }
 }
 
@@ -116,15 +113,14 @@
 }
 
 bool Executor::IsEarlierIncarnation(const std::string& incarnation) const {
-  return std::find(earlier_incarnations_.begin(), earlier_incarnations_.end(),
-                   incarnation) != earlier_incarnations_.end();
+  return std::find(earlier_ids_.begin(), earlier_ids_.end(), incarnation) !=
+         earlier_ids_.end();
 }
 
 void Executor::NoteEarlierIncarnation(const std::string& incarnation) {
   if (incarnation.empty()) return;
-  earlier_incarnations_.push_back(incarnation);
-  if (earlier_incarnations_.size() > kMaxEarlierIncarnations)
-    earlier_incarnations_.pop_front();
+  earlier_ids_.push_back(incarnation);
+  if (earlier_ids_.size() > kMaxEarlierIds) earlier_ids_.pop_front();
 }
 
 void Executor::OnRunnerRegistered(const VmStatus& status,
@@ -145,10 +141,9 @@
                    (status_.life.empty() ? "none" : status_.life) + ", labels" +
                    labels);
     NoteEarlierIncarnation(status_.life);
-    earlier_incarnations_.erase(
-        std::remove(earlier_incarnations_.begin(), earlier_incarnations_.end(),
-                    status.life),
-        earlier_incarnations_.end());
+    earlier_ids_.erase(
+        std::remove(earlier_ids_.begin(), earlier_ids_.end(), status.life),
+        earlier_ids_.end());
     ResetIncarnation();
     leaving_since_.reset();
     leave_polled_at_.reset();
@@ -192,8 +187,7 @@
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
     if (IsCurrent(link, traits->epoch, traits->life)) OnRunTraits(*traits);
   } else if (const auto* learned = std::get_if<PressureWeights>(&message)) {
-    if (owner_link_ == link && learned->epoch == epoch_)
-      OnInterferenceWeights(*learned);
+    if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
     if (owner_link_ == link && policy->epoch == epoch_) OnPacePolicy(*policy);
   }
@@ -233,8 +227,7 @@
 }
 
 void Executor::PollLeavingRunner(TimePoint now) {
-  if (!leaving_since_ || now - *leaving_since_ < options_.leave_poll_delay)
-    return;
+  if (!leaving_since_ || now - *leaving_since_ < options_.exit_grace) return;
   if (epoch_ == 0) {  // Without an owner there is no epoch to poll under.
     ForgetDepartedRunner();
     return;
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -48,9 +48,10 @@
   // How long interference by best-effort tasks may keep a serving task over its
   // target before users count it as harmed.
   Duration harm_after = kDefaultHarmAfter;
-  // How long after a runner announced its exit it is polled to find out whether
-  // it has exited: until then its tasks may still be running.
-  Duration leave_poll_delay = std::chrono::milliseconds(600);
+  // Grace period after a runner announced its exit, in which its tasks may
+  // still be running. Afterwards it is polled to find out whether it has
+  // exited.
+  Duration exit_grace = std::chrono::milliseconds(600);
 };
 
 struct ExecutorHooks {
@@ -110,6 +111,7 @@
   // Age of the oldest ordered stop whose outcome is still open; zero if there
   // is none.
   Duration OldestStop() const;
+  // Describes the state in one line, for diagnostics.
   std::string Dump() const;
 
  private:
@@ -180,7 +182,7 @@
   // lease or a reading of that clock.
   std::optional<RunnerClock> LeaseEndForRunner() const;
   void SendToOwner(const DispatchMessage& message);
-  // Polls a runner that announced its exit, after `leave_poll_delay`.
+  // Polls a runner that announced its exit, after `exit_grace`.
   void PollLeavingRunner(TimePoint now);
   // Handles the result of that poll. A runner that answers has not exited: the
   // announcement may have been a delayed one of an earlier incarnation.
@@ -241,7 +243,7 @@
                    const std::string& incarnation);
   // Notes that an incarnation other than the one registered last answers, so
   // that the next registration is accepted whichever incarnation it names.
-  void NoteOtherIncarnation();
+  void NoteMismatch();
   void ReportEnds(const RunnerView& view);
   void SendInventory(const RunnerView& view);
   void SendEmptyInventory();
@@ -253,7 +255,7 @@
 
   // In executor_pacing.cc.
   void OnRunTraits(const RunTraitsList& list);
-  void OnInterferenceWeights(const PressureWeights& learned);
+  void OnWeights(const PressureWeights& learned);
   void OnPacePolicy(const PacePolicyNotice& notice);
   void UpdatePaces(const RunnerView& view, TimePoint sent_at, TimePoint now);
   // Detects best-effort runs that are active although paused, or the reverse:
@@ -307,8 +309,8 @@
   TimePoint last_heartbeat_{};
 
   VmStatus status_;
-  // Incarnations of the runner before the current one, newest last.
-  std::deque<std::string> earlier_incarnations_;
+  // Ids of the runner's incarnations before the current one, newest last.
+  std::deque<std::string> earlier_ids_;
   // An incarnation other than the one registered last answers at the runner's
   // address.
   bool other_incarnation_answers_ = false;
@@ -325,8 +327,8 @@
   CallQueue<PendingStop> stop_queue_;
   CallQueue<PendingPace> pace_queue_;
   IncarnationRecord incarnation_record_;
-  // Incarnations that ended recently and when they did, newest last.
-  std::deque<std::pair<TimePoint, PastLife>> past_incarnations_;
+  // Incarnations that ended recently, with the time of their end, newest last.
+  std::deque<std::pair<TimePoint, PastLife>> past_records_;
   std::map<RunRef, PacedRun> paced_;
   Pacer pacer_;
   PacePolicy pace_policy_ = PacePolicy::kCautious;
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -110,8 +110,8 @@
     if (sent_at - paced.ordered_at < kPaceEffectDelay) continue;
     const bool active = IsUsingCpu(running, paced.traits.cpu_millis);
     const bool ordered_to_pause = paced.percent == 0;
-    const bool ordered_to_work = paced.percent >= kSurelyActivePacePercent;
-    if (active ? ordered_to_pause : ordered_to_work) {
+    const bool ordered_to_run = paced.percent >= kSurelyActivePacePercent;
+    if (active ? ordered_to_pause : ordered_to_run) {
       paced.percent = kUnknownPercent;
     }
   }
@@ -129,8 +129,8 @@
         std::min<int64_t>(pacer_.PacePercent(traits.image), kMinSharePercent);
     return traits.cpu_millis * percent / kFullPacePercent;
   };
-  std::map<std::string, int64_t>
-      allowed_cpu_millis;  // By image, beyond the minimum.
+  // By image, in addition to the minimum.
+  std::map<std::string, int64_t> allowed_cpu_millis;
   for (const RunRef& run : best_effort_runs) {
     const TaskTraits& traits = paced_.at(run).traits;
     allowed_cpu_millis[traits.image] += traits.cpu_millis *
@@ -243,7 +243,7 @@
   pacer_.set_policy(pace_policy_);
 }
 
-void Executor::OnInterferenceWeights(const PressureWeights& learned) {
+void Executor::OnWeights(const PressureWeights& learned) {
   Pacer::InterferenceWeights weights;
   for (const PressureWeight& weight : learned.weights) {
     weights[{weight.serving, weight.filling}] = weight.per_vm;
--- a/beamhill/executor/executor_polling.cc
+++ b/beamhill/executor/executor_polling.cc
@@ -107,8 +107,7 @@
     if (view.reply.verdict == RunnerVerdict::kFenced) {
       hooks_.log("fenced", "", "epoch " + std::to_string(epoch));
     }
-    if (view.reply.verdict == RunnerVerdict::kOtherIncarnation)
-      NoteOtherIncarnation();
+    if (view.reply.verdict == RunnerVerdict::kOtherIncarnation) NoteMismatch();
     return;
   }
   NoteClock(view.reply.clock);
@@ -150,7 +149,7 @@
   reported_at_ = hooks_.now();
   idle_reported_ = false;
   SendToOwner(inventory);
-  // Asks for a lease at once.
+  // Requests a lease without waiting for the next heartbeat interval.
   last_heartbeat_ = hooks_.now();
   SendToOwner(VmHeartbeat{epoch_, last_heartbeat_});
 }
@@ -163,7 +162,7 @@
 }
 
 void Executor::AddPastIncarnations(VmInventory& inventory) const {
-  for (const auto& [at, past] : past_incarnations_) {
+  for (const auto& [at, past] : past_records_) {
     inventory.past_lives.push_back(past);
   }
 }
@@ -176,7 +175,7 @@
   return unreachable && now >= last + options_.lease_margin;
 }
 
-void Executor::NoteOtherIncarnation() {
+void Executor::NoteMismatch() {
   if (other_incarnation_answers_) return;
   other_incarnation_answers_ = true;
   hooks_.log("another_life_answers", "", "not " + status_.life);
--- a/beamhill/executor/executor_process.h
+++ b/beamhill/executor/executor_process.h
@@ -25,8 +25,8 @@
 namespace beamhill {
 
 struct ExecutorSettings {
-  std::string vm;  // The VM's name.
-  Address links;   // Address at which owners connect.
+  std::string vm;  // Name of the VM.
+  Address links;   // Address on which to listen for owners.
   ExecutorOptions executor;
 };
 
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -12,7 +12,7 @@
 // Their executors get no leases until then. If only lease renewals counted as
 // signs of the owner, executors would treat their owner as lost (570 of 800 VMs
 // in one start) and keep querying the table from then on.
-TEST_F(ExecutorTest, OwnerWithoutARunnerToGrantLeasesToCountsAsHeard) {
+TEST_F(ExecutorTest, OwnerCountsAsHeardWithoutARunner) {
   AdvanceTime(std::chrono::seconds(3));
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
   for (int i = 0; i < 4; ++i) {
@@ -323,10 +323,10 @@
   AdvanceTime(milliseconds(300));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
   AdvanceTime(milliseconds(400));
-  const auto asked = polls_.back().second;
+  const auto answer = polls_.back().second;
   RunnerView gone;
   gone.reply.verdict = RunnerVerdict::kUnreachable;
-  asked(gone);
+  answer(gone);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].status.life, "");
 }
--- a/beamhill/executor/incarnation_record.cc
+++ b/beamhill/executor/incarnation_record.cc
@@ -14,15 +14,15 @@
 }  // namespace
 
 void IncarnationRecord::OnAnswered(TimePoint sent_at) {
-  for (auto it = start_sent_at_.begin(); it != start_sent_at_.end();) {
-    it = sent_at - it->second > kCrashWindow ? start_sent_at_.erase(it)
-                                             : std::next(it);
+  for (auto it = starts_.begin(); it != starts_.end();) {
+    it =
+        sent_at - it->second > kCrashWindow ? starts_.erase(it) : std::next(it);
   }
 }
 
 void IncarnationRecord::OnPollReply(RunnerView view, TimePoint sent_at) {
   OnAnswered(sent_at);
-  for (const RunEnd& end : view.ended) start_sent_at_.erase(end.run);
+  for (const RunEnd& end : view.ended) starts_.erase(end.run);
   last_view_ = std::move(view);
 }
 
@@ -32,11 +32,9 @@
   past.life = incarnation;
   past.announced = announced;
   past.ended = last_view_.ended;
-  for (const auto& [run, sent_at] : start_sent_at_)
-    past.just_begun.push_back(run);
+  for (const auto& [run, at] : starts_) past.just_begun.push_back(run);
   for (const RunningRun& running : last_view_.running) {
-    if (start_sent_at_.count(running.run) == 0)
-      past.others.push_back(running.run);
+    if (starts_.count(running.run) == 0) past.others.push_back(running.run);
   }
   return past;
 }
--- a/beamhill/executor/incarnation_record.h
+++ b/beamhill/executor/incarnation_record.h
@@ -24,10 +24,8 @@
 
 class IncarnationRecord {
  public:
-  void OnStartSent(const RunRef& run, TimePoint now) {
-    start_sent_at_[run] = now;
-  }
-  void OnNeverBegun(const RunRef& run) { start_sent_at_.erase(run); }
+  void OnStartSent(const RunRef& run, TimePoint now) { starts_[run] = now; }
+  void OnNeverBegun(const RunRef& run) { starts_.erase(run); }
   // The runner answered a call that was sent at `sent_at`, so starts sent more
   // than kCrashWindow before that have not crashed it.
   void OnAnswered(TimePoint sent_at);
@@ -41,7 +39,7 @@
 
  private:
   // Starts sent at most kCrashWindow before the last call that was answered.
-  std::map<RunRef, TimePoint> start_sent_at_;
+  std::map<RunRef, TimePoint> starts_;
   RunnerView last_view_;
 };
 
--- a/beamhill/executor/pacer.cc
+++ b/beamhill/executor/pacer.cc
@@ -9,12 +9,12 @@
 // are increased. The gap prevents oscillation.
 constexpr double kReduceAboveRatio = 0.9;
 constexpr double kIncreaseBelowRatio = 0.8;
-// Least time between changes. A measurement covers half a second, so the effect
-// of a change is fully visible only after that.
+// Minimum time between changes. A measurement covers half a second, so the
+// effect of a change is fully visible only after that.
 constexpr Duration kReduceInterval = std::chrono::milliseconds(400);
 constexpr Duration kIncreaseInterval = std::chrono::milliseconds(300);
 constexpr int kStepPercent = 12;  // Of one increase.
-// Instead of a lower pace an image is paused.
+// An image whose pace would fall below this is paused.
 constexpr int kMinPacePercent = 8;
 // An image that causes at least this fraction of the expected interference is
 // one of its main sources.
@@ -83,11 +83,11 @@
   for (const ServingSample& sample : serving) {
     worst = std::max(worst, sample.ratio());
   }
-  const std::vector<ServingSample> affected = SamplesNearTarget(serving);
-  if (!affected.empty() && !near_target_) near_target_since_ = now;
-  near_target_ = !affected.empty();
-  if (!affected.empty() && now - reduced_at_ >= kReduceInterval) {
-    ReducePaces(affected, best_effort, now - near_target_since_);
+  const std::vector<ServingSample> high = SamplesNearTarget(serving);
+  if (!high.empty() && !near_target_) near_target_since_ = now;
+  near_target_ = !high.empty();
+  if (!high.empty() && now - reduced_at_ >= kReduceInterval) {
+    ReducePaces(high, best_effort, now - near_target_since_);
     reduced_at_ = now;
   } else if (worst < kIncreaseBelowRatio &&
              now - increased_at_ >= kIncreaseInterval &&
@@ -101,28 +101,27 @@
 // the service's own load.
 void Pacer::RestoreHarmless(const std::vector<ServingSample>& serving,
                             const BestEffortShares& best_effort) {
-  const std::vector<ServingSample> affected = SamplesNearTarget(serving);
+  const std::vector<ServingSample> high = SamplesNearTarget(serving);
   for (const auto& [image, share] : best_effort) {
-    if (IsKnownHarmless(affected, image)) percents_[image] = kFullPacePercent;
+    if (IsKnownHarmless(high, image)) percents_[image] = kFullPacePercent;
   }
 }
 
-void Pacer::ReducePaces(const std::vector<ServingSample>& affected,
+void Pacer::ReducePaces(const std::vector<ServingSample>& high,
                         const BestEffortShares& best_effort,
                         Duration near_for) {
   if (near_for < kTrustWeightsFor) {
-    ReduceLikelySources(affected, best_effort);
+    ReduceLikelySources(high, best_effort);
     return;
   }
   for (const auto& [image, share] : best_effort) {
-    if (!IsKnownHarmless(affected, image))
-      ReduceImage(image, kOverTargetFactor);
+    if (!IsKnownHarmless(high, image)) ReduceImage(image, kOverTargetFactor);
   }
 }
 
-bool Pacer::IsKnownHarmless(const std::vector<ServingSample>& affected,
+bool Pacer::IsKnownHarmless(const std::vector<ServingSample>& high,
                             const std::string& image) const {
-  return std::all_of(affected.begin(), affected.end(), [&](const auto& sample) {
+  return std::all_of(high.begin(), high.end(), [&](const auto& sample) {
     const bool known = weights_.count({sample.image, image}) > 0;
     return known && WeightMillis(sample.image, image) * kTypicalShare <
                         kExplainedFraction * ToMillis(sample.target);
@@ -135,14 +134,14 @@
   percents_[image] = percent;
 }
 
-void Pacer::ReduceLikelySources(const std::vector<ServingSample>& affected,
+void Pacer::ReduceLikelySources(const std::vector<ServingSample>& high,
                                 const BestEffortShares& best_effort) {
   std::map<std::string, double> contribution;
   double total = 0;
   double worst = 0;
   double target = 0;
   bool known = false;
-  for (const ServingSample& sample : affected) {
+  for (const ServingSample& sample : high) {
     worst = std::max(worst, sample.ratio());
     target = std::max(target, ToMillis(sample.target));
     for (const auto& [image, share] : best_effort) {
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -73,16 +73,16 @@
   // to be harmless.
   void RestoreHarmless(const std::vector<ServingSample>& serving,
                        const BestEffortShares& best_effort);
-  // Reduces paces while the tails in `affected` have been near or above their
+  // Reduces paces while the tails in `high` have been near or above their
   // targets for `near_for`: at first those of likely sources of interference;
   // after kTrustWeightsFor, those of all images not known to be harmless.
-  void ReducePaces(const std::vector<ServingSample>& affected,
+  void ReducePaces(const std::vector<ServingSample>& high,
                    const BestEffortShares& best_effort, Duration near_for);
-  void ReduceLikelySources(const std::vector<ServingSample>& affected,
+  void ReduceLikelySources(const std::vector<ServingSample>& high,
                            const BestEffortShares& best_effort);
   void IncreasePaces(const std::vector<ServingSample>& serving,
                      const BestEffortShares& best_effort);
-  bool IsKnownHarmless(const std::vector<ServingSample>& affected,
+  bool IsKnownHarmless(const std::vector<ServingSample>& high,
                        const std::string& image) const;
   void ReduceImage(const std::string& image, double factor);
 
--- a/beamhill/executor/pacer_test.cc
+++ b/beamhill/executor/pacer_test.cc
@@ -20,9 +20,8 @@
   // of the VM that each best-effort image uses.
   void Observe(Duration time, Duration tail,
                const std::map<std::string, double>& used) {
-    Pacer::BestEffortShares best_effort;
-    for (const auto& [image, share] : used)
-      best_effort[image] = {share, requested_};
+    Pacer::BestEffortShares shares;
+    for (const auto& [image, share] : used) shares[image] = {share, requested_};
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += milliseconds(250);
@@ -30,7 +29,7 @@
           std::any_of(used.begin(), used.end(), [this](const auto& entry) {
             return pacer_.PacePercent(entry.first) > 0;
           });
-      pacer_.Observe({{"web", tail, kTarget}}, best_effort, work, now_);
+      pacer_.Observe({{"web", tail, kTarget}}, shares, work, now_);
     }
   }
 
--- a/beamhill/executor/task_runner.h
+++ b/beamhill/executor/task_runner.h
@@ -27,6 +27,7 @@
 // A reading of the runner's steady clock.
 using RunnerClock = std::chrono::milliseconds;
 
+// Outcome of a call to the runner.
 enum class RunnerVerdict : uint8_t {
   kDone,
   kFenced,            // The runner has seen a later epoch.
@@ -41,7 +42,7 @@
 
 struct RunnerReply {
   RunnerVerdict verdict = RunnerVerdict::kNoAnswer;
-  std::optional<RunnerClock> clock;
+  std::optional<RunnerClock> clock;  // If the answer came with a reading.
 };
 
 struct RunnerStart {
@@ -71,7 +72,7 @@
   std::string incarnation;
   uint64_t epoch = 0;
   uint64_t acknowledged_through = 0;  // The runner may forget ends up to here.
-  std::optional<RunnerClock> lease_end;
+  std::optional<RunnerClock> lease_end;  // Without it, no lease is extended.
   // How long the runner may delay its answer while it has no end to list.
   std::chrono::milliseconds wait{};
 };
@@ -85,6 +86,7 @@
   int64_t measurement = 0;
 };
 
+// Answer to a poll: all runs in progress, and the ends that the runner keeps.
 struct RunnerView {
   RunnerReply reply;
   std::vector<RunningRun> running;
--- a/beamhill/executor/vm_registration_test.cc
+++ b/beamhill/executor/vm_registration_test.cc
@@ -96,8 +96,7 @@
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
-// With immediate retries at a constant rate, hundreds of VMs would overload the
-// table.
+// Retries without backoff from hundreds of VMs would keep the table overloaded.
 TEST_F(VmRegistrationTest, FailedCallsAreRetriedWithGrowingBackoff) {
   Table refusing = table_.AsTable();
   int reads = 0;
