--- a/beamhill/dispatch/dispatch_messages.h
+++ b/beamhill/dispatch/dispatch_messages.h
@@ -170,7 +170,7 @@
 // caused the crash. Most of this time allows for starts that take effect late.
 inline constexpr Duration kCrashWindow = std::chrono::seconds(1);
 
-// A incarnation of a runner that is over, as its executor last saw it.
+// An incarnation of a runner that is over, as its executor last saw it.
 struct PastIncarnation {
   std::string incarnation;
   bool announced = false;     // The runner had announced its shutdown.
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -7,19 +7,19 @@
 namespace beamhill {
 namespace {
 
-// The runner's clock may be slow by 2 %: a lease is given to it that much
-// shorter.
+// The runner's clock may be slow by 2 %, so a lease is passed on to it
+// shortened by as much.
 constexpr int64_t kClockErrorPermille = 20;
 
-// Lives that are remembered, to know late registrations of them: these are
-// seconds late, and a runner takes longer to come back.
-constexpr size_t kEarlierLives = 16;
+// Number of earlier incarnations kept to recognize their delayed registrations.
+// Those arrive seconds late, and a runner takes longer than that to restart.
+constexpr size_t kMaxEarlierIds = 16;
 
-// Past lives are told to each owner that attaches for so long: an owner that
-// takes over as a runner goes down must hear what its predecessor would have.
-// Later ones have what was stored.
-constexpr Duration kPastLifeMemory = std::chrono::seconds(30);
-constexpr size_t kMostPastLives = 16;
+// How long past incarnations are reported to each owner that attaches: one that
+// takes over while a runner fails needs what its predecessor would have been
+// told. Owners that attach later find it in the table.
+constexpr Duration kPastIncarnationRetention = std::chrono::seconds(30);
+constexpr size_t kMaxPastRecords = 16;
 
 bool SameStatus(const VmStatus& a, const VmStatus& b) {
   return a.incarnation == b.incarnation && a.service == b.service &&
@@ -36,9 +36,9 @@
       hooks_(std::move(hooks)),
       started_at_(hooks_.now()),
       owner_heard_at_(started_at_),
-      start_lane_(runner_.limits.starts),
-      stop_lane_(runner_.limits.stops),
-      pace_lane_(runner_.limits.paces),
+      start_queue_(runner_.limits.starts),
+      stop_queue_(runner_.limits.stops),
+      pace_queue_(runner_.limits.paces),
       pacer_(options_.harm_after) {}
 
 void Executor::SendToOwner(const DispatchMessage& message) {
@@ -55,86 +55,87 @@
 std::optional<RunnerClock> Executor::LeaseEndForRunner() const {
   const TimePoint now = hooks_.now();
   if (!clock_known_ || lease_end_ <= now) return std::nullopt;
-  // The reading was taken no later than it arrived here, so this end is not
-  // later than the granted one.
+  // The clock was read before its reading arrived here, so the computed end is
+  // not later than the granted one.
   const Duration ahead =
       std::min(lease_end_ - clock_at_, now - clock_at_ + options_.max_lease);
   const Duration safe = ahead * (1000 - kClockErrorPermille) / 1000;
   return clock_ + std::chrono::duration_cast<RunnerClock>(safe);
 }
 
-void Executor::KeepPastLife() {
+void Executor::RecordPastIncarnation() {
   if (status_.incarnation.empty()) return;
   const TimePoint now = hooks_.now();
   PastIncarnation past =
-      life_record_.Describe(status_.incarnation, IsLeaving());
-  if (!past_lives_.empty() &&
-      past_lives_.back().second.incarnation == past.incarnation) {
-    // Given up as silent before; it may have answered and begun more since.
-    const bool same = past_lives_.back().second.just_begun == past.just_begun;
-    past_lives_.pop_back();
-    past_lives_.emplace_back(now, past);
+      incarnation_record_.Describe(status_.incarnation, IsLeaving());
+  if (!past_records_.empty() &&
+      past_records_.back().second.incarnation == past.incarnation) {
+    // Recorded before, when it was silent; it may since have answered and begun
+    // more runs.
+    const bool same = past_records_.back().second.just_begun == past.just_begun;
+    past_records_.pop_back();
+    past_records_.emplace_back(now, past);
     if (same) return;
   } else {
-    past_lives_.emplace_back(now, past);
+    past_records_.emplace_back(now, past);
   }
-  if (past_lives_.size() > kMostPastLives) past_lives_.pop_front();
+  if (past_records_.size() > kMaxPastRecords) past_records_.pop_front();
   if (past.announced) return;
   ++counts_.runners_lost;
-  const auto silent = static_cast<int64_t>(ToMillis(now - last_answer_));
+  const auto silent_ms = static_cast<int64_t>(ToMillis(now - last_answer_));
   hooks_.log("runner_lost", "",
-             past.incarnation + ", last heard " + std::to_string(silent) +
+             past.incarnation + ", last heard " + std::to_string(silent_ms) +
                  " ms ago; had just begun: " + RunNames(past.just_begun));
 }
 
-void Executor::ForgetPastLives(TimePoint now) {
-  while (!past_lives_.empty() &&
-         now - past_lives_.front().first > kPastLifeMemory) {
-    past_lives_.pop_front();
+void Executor::ForgetPastIncarnations(TimePoint now) {
+  while (!past_records_.empty() &&
+         now - past_records_.front().first > kPastIncarnationRetention) {
+    past_records_.pop_front();
   }
 }
 
 void Executor::DropOrders() {
   orders_.clear();
-  start_lane_.Clear();
-  stop_lane_.Clear();
+  start_queue_.Clear();
+  stop_queue_.Clear();
 }
 
-void Executor::ResetLife() {
+void Executor::ResetIncarnation() {
   DropOrders();
-  pace_lane_.Clear();
-  life_record_ = LifeRecord();
+  pace_queue_.Clear();
+  incarnation_record_ = IncarnationRecord();
   paced_.clear();
-  settled_ = 0;
-  highest_listed_ = 0;
-  reported_ = 0;
+  acknowledged_through_ = 0;
+  highest_end_listed_ = 0;
+  reported_through_ = 0;
   clock_known_ = false;
   pacer_ = Pacer(options_.harm_after);
   pacer_.set_policy(pace_policy_);
 }
 
-bool Executor::IsEarlierLife(const std::string& incarnation) const {
-  return std::find(earlier_lives_.begin(), earlier_lives_.end(), incarnation) !=
-         earlier_lives_.end();
+bool Executor::IsEarlierIncarnation(const std::string& incarnation) const {
+  return std::find(earlier_ids_.begin(), earlier_ids_.end(), incarnation) !=
+         earlier_ids_.end();
 }
 
-void Executor::NoteEarlierLife(const std::string& incarnation) {
+void Executor::NoteEarlierIncarnation(const std::string& incarnation) {
   if (incarnation.empty()) return;
-  earlier_lives_.push_back(incarnation);
-  if (earlier_lives_.size() > kEarlierLives) earlier_lives_.pop_front();
+  earlier_ids_.push_back(incarnation);
+  if (earlier_ids_.size() > kMaxEarlierIds) earlier_ids_.pop_front();
 }
 
-void Executor::OnRunner(const VmStatus& status,
-                        std::optional<RunnerClock> clock) {
-  if (IsEarlierLife(status.incarnation) && !another_answers_) {
+void Executor::OnRunnerRegistered(const VmStatus& status,
+                                  std::optional<RunnerClock> clock) {
+  if (IsEarlierIncarnation(status.incarnation) && !other_incarnation_answers_) {
     hooks_.log("late_registration", "",
-               status.incarnation + " was followed by " + status_.incarnation);
+               status.incarnation + " was replaced by " + status_.incarnation);
     return;
   }
-  const bool new_life = status.incarnation != status_.incarnation;
+  const bool new_incarnation = status.incarnation != status_.incarnation;
   const bool changed = !SameStatus(status, status_);
-  if (new_life) {
-    KeepPastLife();
+  if (new_incarnation) {
+    RecordPastIncarnation();
     std::string labels;
     for (const std::string& label : status.labels) labels += " " + label;
     hooks_.log(
@@ -142,27 +143,26 @@
         status.incarnation + " after " +
             (status_.incarnation.empty() ? "none" : status_.incarnation) +
             ", labels" + labels);
-    NoteEarlierLife(status_.incarnation);
-    earlier_lives_.erase(std::remove(earlier_lives_.begin(),
-                                     earlier_lives_.end(), status.incarnation),
-                         earlier_lives_.end());
-    ResetLife();
+    NoteEarlierIncarnation(status_.incarnation);
+    earlier_ids_.erase(std::remove(earlier_ids_.begin(), earlier_ids_.end(),
+                                   status.incarnation),
+                       earlier_ids_.end());
+    ResetIncarnation();
     leaving_since_.reset();
-    leave_asked_at_.reset();
-    another_answers_ = false;
+    leave_polled_at_.reset();
+    other_incarnation_answers_ = false;
     runner_is_gone_ = false;
     inventory_wanted_ = true;
     last_answer_ = hooks_.now();
   }
   status_ = status;
-  // A reading that comes with a registration may have waited on its way: it
-  // only makes leases shorter.
+  // The reading in a delayed registration is old, which only shortens leases.
   if (!clock_known_) NoteClock(clock);
   if (changed) SendToOwner(status_);
-  if (new_life) LookSoon();
+  if (new_incarnation) PollSoon();
 }
 
-void Executor::OnRunnerLeft(const std::string& incarnation) {
+void Executor::OnRunnerLeaving(const std::string& incarnation) {
   if (incarnation != status_.incarnation) return;
   hooks_.log("runner_left", "", incarnation);
   leaving_since_ = hooks_.now();
@@ -182,17 +182,16 @@
   } else if (const auto* renew = std::get_if<RenewLease>(&message)) {
     if (renew->epoch == epoch_ && owner_link_ == link) OnRenew(*renew);
   } else if (const auto* starts = std::get_if<StartRuns>(&message)) {
-    if (IsCurrent(link, starts->epoch, starts->incarnation)) {
+    if (IsCurrent(link, starts->epoch, starts->incarnation))
       OnStartRuns(*starts);
-    }
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     if (IsCurrent(link, stops->epoch, stops->incarnation)) OnStopRuns(*stops);
-  } else if (const auto* settled = std::get_if<EndsAcknowledged>(&message)) {
-    if (IsCurrent(link, settled->epoch, settled->incarnation)) {
-      OnSettled(*settled);
-    }
+  } else if (const auto* acks = std::get_if<EndsAcknowledged>(&message)) {
+    if (IsCurrent(link, acks->epoch, acks->incarnation))
+      OnEndsAcknowledged(*acks);
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
-    if (IsCurrent(link, traits->epoch, traits->incarnation)) OnTraits(*traits);
+    if (IsCurrent(link, traits->epoch, traits->incarnation))
+      OnRunTraits(*traits);
   } else if (const auto* learned = std::get_if<InterferenceWeights>(&message)) {
     if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
@@ -211,18 +210,18 @@
   }
   if (attach.epoch > epoch_) {
     hooks_.log("owner_attached", "", "epoch " + std::to_string(attach.epoch));
-    // Calls that have left under the earlier epoch are refused once the runner
-    // has seen this one, and the inventory is asked for under this one. What
-    // waits must not leave: a runner may check no epochs. Paces are of this
-    // process's own making and go on.
+    // Once the runner has seen this epoch, which it does with the poll for the
+    // inventory, it refuses calls sent under an earlier one. Queued starts and
+    // stops are dropped here because a runner may not check epochs. Pace orders
+    // originate in this process and stay valid.
     DropOrders();
     epoch_ = attach.epoch;
   }
   owner_link_ = link;
-  reported_ = 0;
-  told_empty_ = false;
+  reported_through_ = 0;
+  empty_inventory_sent_ = false;
   inventory_wanted_ = true;
-  LookSoon();
+  PollSoon();
 }
 
 void Executor::OnLinkDown(uint64_t link) {
@@ -233,54 +232,54 @@
   lease_end_ = std::max(lease_end_, renew.echoed_stamp + renew.term);
 }
 
-void Executor::AskLeavingRunner(TimePoint now) {
-  if (!leaving_since_ || now - *leaving_since_ < options_.leave_pause) return;
-  if (epoch_ == 0) {  // Nobody has asked for anything, and no look can be made.
-    ForgetLeftRunner();
+void Executor::PollLeavingRunner(TimePoint now) {
+  if (!leaving_since_ || now - *leaving_since_ < options_.exit_grace) return;
+  if (epoch_ == 0) {  // Without an owner there is no epoch to poll under.
+    ForgetDepartedRunner();
     return;
   }
-  if (leave_asked_at_) return;
-  if (LookSoon()) leave_asked_at_ = now;
+  if (leave_polled_at_) return;
+  if (PollSoon()) leave_polled_at_ = now;
 }
 
-void Executor::OnLeaveAnswered(RunnerVerdict verdict, TimePoint sent_at) {
-  if (!leave_asked_at_ || sent_at < *leave_asked_at_) return;
-  leave_asked_at_.reset();
+void Executor::OnLeavingRunnerPolled(RunnerVerdict verdict, TimePoint sent_at) {
+  if (!leave_polled_at_ || sent_at < *leave_polled_at_) return;
+  leave_polled_at_.reset();
   if (verdict == RunnerVerdict::kUnreachable ||
-      verdict == RunnerVerdict::kOtherLife ||
+      verdict == RunnerVerdict::kOtherIncarnation ||
       verdict == RunnerVerdict::kNoAnswer) {
-    ForgetLeftRunner();
+    ForgetDepartedRunner();
     return;
   }
   hooks_.log("runner_stays", "",
-             status_.incarnation + " answers though it has left");
+             status_.incarnation + " still answers after announcing its exit");
   leaving_since_.reset();
   if (status_.draining) leaving_since_ = hooks_.now();
 }
 
-void Executor::ForgetLeftRunner() {
-  KeepPastLife();
+void Executor::ForgetDepartedRunner() {
+  RecordPastIncarnation();
   leaving_since_.reset();
-  ResetLife();
+  ResetIncarnation();
   status_ = VmStatus();
   runner_is_gone_ = true;
-  // Without a runner there is nothing to look at.
+  // No poll follows without a runner, so the owner is told now.
   if (owner_link_) SendEmptyInventory();
 }
 
 void Executor::GiveUpSilentRunner(TimePoint now) {
-  if (!owner_link_ || !inventory_wanted_ || told_empty_) return;
-  if (!AllLeasesOver(now)) return;
+  if (!owner_link_ || !inventory_wanted_ || empty_inventory_sent_) return;
+  if (!AllLeasesExpired(now)) return;
   hooks_.log("runner_silent", "",
-             status_.incarnation + ": every lease that it was given is over");
-  told_empty_ = true;
-  KeepPastLife();
+             status_.incarnation + ": every lease granted to it has expired");
+  empty_inventory_sent_ = true;
+  RecordPastIncarnation();
   DropOrders();
   SendEmptyInventory();
 }
 
 void Executor::SendHeartbeat(TimePoint now) {
-  const bool reachable = now - last_answer_ < options_.runner_lost_after;
+  const bool reachable = now - last_answer_ < options_.runner_unreachable_after;
   if (!owner_link_ || !reachable) return;
   if (now - last_heartbeat_ < options_.heartbeat_interval) return;
   last_heartbeat_ = now;
@@ -289,14 +288,14 @@
 
 void Executor::Tick() {
   const TimePoint now = hooks_.now();
-  AskLeavingRunner(now);
-  ForgetPastLives(now);
+  PollLeavingRunner(now);
+  ForgetPastIncarnations(now);
   GiveUpSilentRunner(now);
   SendHeartbeat(now);
   DropOutdatedStarts(now);
   RetryStops(now);
   LogOverdueStops(now);
-  LookIfDue(now);
+  PollIfDue(now);
 }
 
 std::string Executor::Dump() const {
@@ -304,11 +303,12 @@
   out << "epoch " << epoch_ << " owned " << owned() << " life "
       << status_.incarnation << " draining " << status_.draining << " lease_ms "
       << ToMillis(lease_end_ - hooks_.now()) << " orders " << orders_.size()
-      << " starts_waiting " << start_lane_.waiting() << " for_ms "
-      << ToMillis(start_lane_.OldestWait(hooks_.now())) << " stops_waiting "
-      << stop_lane_.waiting() << " oldest_stop_ms " << ToMillis(OldestStop())
-      << " paces_waiting " << pace_lane_.waiting() << " paced " << paced_.size()
-      << " settled " << settled_ << " listed " << highest_listed_ << "\n";
+      << " starts_waiting " << start_queue_.waiting() << " for_ms "
+      << ToMillis(start_queue_.OldestWait(hooks_.now())) << " stops_waiting "
+      << stop_queue_.waiting() << " oldest_stop_ms " << ToMillis(OldestStop())
+      << " paces_waiting " << pace_queue_.waiting() << " paced "
+      << paced_.size() << " settled " << acknowledged_through_ << " listed "
+      << highest_end_listed_ << "\n";
   return out.str();
 }
 
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -8,37 +8,38 @@
 using testing::IsEmpty;
 using testing::SizeIs;
 
-// Runners register over some seconds after a start of everything: in that time
-// the executors of 570 of 800 VMs took their owner for lost, since it gave them
-// no lease, and asked the table on their own for the rest of their lives.
-TEST_F(ExecutorTest, OwnerIsHeardThoughThereIsNoRunnerToGiveALeaseTo) {
-  Pass(std::chrono::seconds(3));
+// After a start of the whole fleet, runners take several seconds to register.
+// Their executors get no leases until then. If only lease renewals counted as
+// signs of the owner, executors would treat their owner as lost (570 of 800 VMs
+// in one start) and keep querying the table from then on.
+TEST_F(ExecutorTest, OwnerCountsAsHeardWithoutARunner) {
+  AdvanceTime(std::chrono::seconds(3));
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
   for (int i = 0; i < 4; ++i) {
     executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-    Pass(std::chrono::milliseconds(1500));
+    AdvanceTime(std::chrono::milliseconds(1500));
     EXPECT_LE(executor_->SinceOwner(), std::chrono::milliseconds(1500));
   }
 }
 
-TEST_F(ExecutorTest, EarlierOwnerIsNotHeard) {
+TEST_F(ExecutorTest, EarlierOwnerDoesNotCountAsHeard) {
   executor_->OnMessage(kLink, ::beamhill::Attach{"b", 2});
-  Pass(std::chrono::seconds(3));
+  AdvanceTime(std::chrono::seconds(3));
   executor_->OnMessage(kLink + 1, ::beamhill::Attach{"a", 1});
   EXPECT_GE(executor_->SinceOwner(), std::chrono::seconds(3));
 }
 
-TEST_F(ExecutorTest, InventoryIsAskedOfTheRunnerUnderTheNewEpoch) {
-  Register("life-1");
+TEST_F(ExecutorTest, RunnerIsPolledForTheInventoryUnderTheNewEpoch) {
+  Register("incarnation-1");
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 3});
-  AnswerLook({{kRun, 100, 0}});
-  EXPECT_EQ(last_look_.epoch, 3);
+  AnswerPoll({{kRun, 100, 0}});
+  EXPECT_EQ(last_poll_.epoch, 3);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_THAT(Sent<VmInventory>()[0].running, testing::ElementsAre(kRun));
 }
 
 TEST_F(ExecutorTest, LowerEpochIsNotObeyed) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(3);
   executor_->OnMessage(2, ::beamhill::Attach{"b", 2});
   EXPECT_EQ(executor_->epoch(), 3);
@@ -46,18 +47,18 @@
   EXPECT_THAT(starts_, IsEmpty());
 }
 
-TEST_F(ExecutorTest, StartCarriesALeaseThatIsNotLongerThanGranted) {
-  Register("life-1");
+TEST_F(ExecutorTest, StartCarriesALeaseNotLongerThanGranted) {
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   ASSERT_THAT(starts_, SizeIs(1));
-  // The runner's clock read 1000 ms; it may be slow by 2 %.
+  // The runner's clock reads 1000 ms and may be slow by 2 %.
   EXPECT_LE(starts_[0].first.lease_end, RunnerClock(1000 + 4900));
   EXPECT_GT(starts_[0].first.lease_end, RunnerClock(1000 + 4500));
 }
 
 TEST_F(ExecutorTest, NoStartWithoutALease) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   now_ += seconds(6);
   Start(kRun, 1);
@@ -67,13 +68,14 @@
             NotBegunReason::kOutdated);
 }
 
-// An order that was held up on its way: the owner may know better by now.
-TEST_F(ExecutorTest, NoStartByAnOrderThatComesTooLate) {
-  Register("life-1");
+// The owner may have placed the task elsewhere by the time that a delayed order
+// arrives.
+TEST_F(ExecutorTest, NoStartAfterTheLatestStartTime) {
+  Register("incarnation-1");
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.incarnation = "life-1";
+  starts.incarnation = "incarnation-1";
   starts.workflow = kRun.task.workflow;
   starts.runs = {{kRun.task.index, kRun.run, "", ""}};
   starts.latest_start = now_ + seconds(2);
@@ -85,14 +87,14 @@
             NotBegunReason::kOutdated);
 }
 
-// Callers count what waits: the owner hears of the first task that has begun,
-// not of each.
-TEST_F(ExecutorTest, FirstBeginOfAWorkflowIsReportedWhereItIsWanted) {
-  Register("life-1");
+// Callers count waiting workflows, so only the first task that begins is
+// reported.
+TEST_F(ExecutorTest, FirstBeginOfAWorkflowIsReportedOnRequest) {
+  Register("incarnation-1");
   Attach(1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.incarnation = "life-1";
+  starts.incarnation = "incarnation-1";
   starts.workflow = "w";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.report_begin = true;
@@ -103,18 +105,18 @@
   EXPECT_THAT(Sent<RunReports>()[0].begun, testing::ElementsAre(kRun));
 }
 
-// A runner leaves as many starts unanswered as it takes at a time. The
-// next must not follow once the runner has said that it leaves: the owner
-// places nothing there any more.
-TEST_F(ExecutorTest, StartThatWaitsIsNotSentToARunnerThatLeaves) {
-  Register("life-1");
+// The limit of starts in flight is used up. The queued start must not be sent
+// once the runner has announced its exit, since the owner places nothing there
+// any more.
+TEST_F(ExecutorTest, QueuedStartIsNotSentToALeavingRunner) {
+  Register("incarnation-1");
   Attach(1);
   const size_t open = RunnerLimits{}.starts;
   for (uint32_t i = 0; i <= open; ++i) Start({{"w", 0, 0, i}, 1}, 1);
   ASSERT_THAT(starts_, SizeIs(open));
   VmStatus leaving = executor_->status();
   leaving.draining = true;
-  executor_->OnRunner(leaving, RunnerClock(1000));
+  executor_->OnRunnerRegistered(leaving, RunnerClock(1000));
   AnswerAll(starts_);
   EXPECT_EQ(executor_->counts().starts, open);
   ASSERT_THAT(Sent<RunReports>(), SizeIs(1));
@@ -122,21 +124,21 @@
             NotBegunReason::kOutdated);
 }
 
-// The bound on waiting holds also while no call ends.
-TEST_F(ExecutorTest, StartsThatWaitTooLongAreGivenBackWithoutAnyAnswer) {
-  Register("life-1");
+// The limit on queueing time also holds while no call is answered.
+TEST_F(ExecutorTest, StartsQueuedTooLongAreReturnedWithoutAnyAnswer) {
+  Register("incarnation-1");
   Attach(1);
   const size_t open = RunnerLimits{}.starts;
   for (uint32_t i = 0; i < open; ++i) Start({{"w", 0, 0, i}, 1}, 1);
   StartRuns starts;
   starts.epoch = 1;
-  starts.incarnation = "life-1";
+  starts.incarnation = "incarnation-1";
   starts.workflow = "late";
   starts.runs = {{0, 1, "", ""}, {1, 1, "", ""}};
   starts.latest_start = now_ + seconds(1);
   executor_->OnMessage(kLink, starts);
   EXPECT_EQ(executor_->starts_waiting(), 2);
-  Pass(milliseconds(1200));
+  AdvanceTime(milliseconds(1200));
   EXPECT_EQ(executor_->starts_waiting(), 0);
   EXPECT_EQ(executor_->counts().outdated, 2);
   EXPECT_THAT(Sent<RunReports>(), SizeIs(2));
@@ -151,7 +153,7 @@
                             public testing::WithParamInterface<RefusalCase> {};
 
 TEST_P(ExecutorRefusalTest, RefusalIsReportedWithItsReason) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   starts_[0].second({GetParam().verdict, std::nullopt});
@@ -170,134 +172,135 @@
         RefusalCase{RunnerVerdict::kUnreachable,
                     NotBegunReason::kUnreachable}));
 
-TEST_F(ExecutorTest, UnansweredStartThatRunsIsTakenAsStarted) {
-  Register("life-1");
+TEST_F(ExecutorTest, UnansweredStartIsResolvedByAPollThatListsTheRun) {
+  Register("incarnation-1");
   Attach(1);
-  AnswerLook();  // The one that was open; the next is open now.
+  AnswerPoll();  // Already in flight; another one is sent now.
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  AnswerLook();  // Sent before the start.
-  AnswerLook({{kRun, 100, 0}});
+  AnswerPoll();  // Sent before the start.
+  AnswerPoll({{kRun, 100, 0}});
   EXPECT_THAT(stops_, IsEmpty());
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
 }
 
 TEST_F(ExecutorTest, UnansweredStartIsStoppedBeforeItIsGivenUp) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1);
   now_ += milliseconds(800);
   starts_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  AnswerLook();  // Sent before the start, so it tells nothing.
+  AnswerPoll();  // Sent before the start, so it decides nothing.
   EXPECT_THAT(stops_, IsEmpty());
-  AnswerLook();
+  AnswerPoll();
   ASSERT_THAT(stops_, SizeIs(1));
   EXPECT_THAT(Sent<RunReports>(), IsEmpty());
   now_ += milliseconds(5);
   stops_[0].second({RunnerVerdict::kDone, std::nullopt});
-  AnswerLook();
-  AnswerLook();
+  AnswerPoll();
+  AnswerPoll();
   ASSERT_THAT(Sent<RunReports>(), SizeIs(1));
   EXPECT_EQ(Sent<RunReports>()[0].not_begun[0].run, kRun);
 }
 
 TEST_F(ExecutorTest, UnansweredStopIsRepeated) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
-  executor_->OnMessage(kLink, StopRuns{1, "life-1", {kRun}});
+  executor_->OnMessage(kLink, StopRuns{1, "incarnation-1", {kRun}});
   ASSERT_THAT(stops_, SizeIs(1));
   stops_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  Pass(milliseconds(500));
+  AdvanceTime(milliseconds(500));
   EXPECT_THAT(stops_, SizeIs(2));
 }
 
-TEST_F(ExecutorTest, EndsAreForgottenOnlyWhenSettled) {
-  Register("life-1");
+TEST_F(ExecutorTest, EndsAreForgottenOnlyWhenAcknowledged) {
+  Register("incarnation-1");
   Attach(1);
-  AnswerLook();
-  executor_->OnMessage(kLink, EndsAcknowledged{1, "life-1", 4});
-  executor_->OnMessage(kLink, EndsAcknowledged{1, "another life", 9});
-  AnswerLook();
-  EXPECT_EQ(last_look_.settled_through, 0);  // Sent before it was settled.
-  AnswerLook();
-  EXPECT_EQ(last_look_.settled_through, 4);
+  AnswerPoll();
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "incarnation-1", 4});
+  executor_->OnMessage(kLink, EndsAcknowledged{1, "other-incarnation", 9});
+  AnswerPoll();
+  // Sent before the acknowledgement.
+  EXPECT_EQ(last_poll_.acknowledged_through, 0);
+  AnswerPoll();
+  EXPECT_EQ(last_poll_.acknowledged_through, 4);
 }
 
 TEST_F(ExecutorTest, EndIsReportedOnceForEachLink) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   const RunEnd end{1, kRun, RunEndKind::kDone, ""};
-  AnswerLook({}, {end});
-  AnswerLook({}, {end});
+  AnswerPoll({}, {end});
+  AnswerPoll({}, {end});
   EXPECT_THAT(Sent<RunReports>(), SizeIs(1));
-  // On a new link the inventory tells it again.
+  // On a new link the inventory reports it again.
   executor_->OnMessage(2, ::beamhill::Attach{"a", 1});
-  AnswerLook({}, {end});
-  AnswerLook({}, {end});
+  AnswerPoll({}, {end});
+  AnswerPoll({}, {end});
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(2));
   EXPECT_THAT(Sent<VmInventory>()[1].ended, SizeIs(1));
 }
 
-TEST_F(ExecutorTest, OrdersForAnotherLifeAreDropped) {
-  Register("life-1");
+TEST_F(ExecutorTest, OrdersForAnotherIncarnationAreDropped) {
+  Register("incarnation-1");
   Attach(1);
-  Register("life-2");
+  Register("incarnation-2");
   StartRuns starts;
   starts.epoch = 1;
-  starts.incarnation = "life-1";
+  starts.incarnation = "incarnation-1";
   starts.runs = {{0, 1, "", ""}};
   executor_->OnMessage(kLink, starts);
   EXPECT_THAT(starts_, IsEmpty());
 }
 
-TEST_F(ExecutorTest, NoHeartbeatWhileTheRunnerIsOutOfReach) {
-  Register("life-1");
+TEST_F(ExecutorTest, NoHeartbeatWhileTheRunnerIsUnreachable) {
+  Register("incarnation-1");
   Attach(1);
-  Pass(seconds(2));
+  AdvanceTime(seconds(2));
   sent_.clear();
-  Pass(seconds(2));
+  AdvanceTime(seconds(2));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
-// Starts that nobody took counted as answers, so that the lease of a runner
-// that was gone for good was renewed as long as work was offered to it (a day
-// of the users' bench with runners that crash: tasks were away for 25 s).
-TEST_F(ExecutorTest, CallsThatNobodyTakesAreNotASignOfLife) {
-  Register("life-1");
+// If undelivered starts counted as answers, the lease of a runner that is gone
+// would be renewed for as long as starts are sent to it, which delayed the
+// restart of its tasks by 25 s in a simulated day with crashing runners.
+TEST_F(ExecutorTest, UndeliveredCallsDoNotCountAsAnswers) {
+  Register("incarnation-1");
   Attach(1);
   for (uint64_t run = 1; run <= 10; ++run) {
     executor_->OnMessage(kLink, RenewLease{1, now_, seconds(5)});
     Start({{"w", 0, 0, 0}, run}, 1);
     starts_.back().second({RunnerVerdict::kUnreachable, std::nullopt});
-    Pass(milliseconds(300));
+    AdvanceTime(milliseconds(300));
   }
   sent_.clear();
-  Pass(seconds(1));
+  AdvanceTime(seconds(1));
   EXPECT_THAT(Sent<VmHeartbeat>(), IsEmpty());
 }
 
-// A new owner waited out every lease that its predecessor might have granted,
-// though the executor that alone could have passed them on was there to ask
-// (a hunted day: tasks away for 25 s after a runner and the owner were lost).
-TEST_F(ExecutorTest, SilentRunnerIsReportedEmptyOnceItsLeasesAreOver) {
-  Register("life-1");
+// After the loss of a runner and its owner, a new owner need not wait out every
+// lease that its predecessor may have granted, since only this executor passes
+// leases on. Without the report, tasks were down for 25 s in a simulated day.
+TEST_F(ExecutorTest, SilentRunnerIsReportedEmptyOnceItsLeasesExpired) {
+  Register("incarnation-1");
   Attach(1);  // Grants 5 s.
   executor_->OnMessage(2, ::beamhill::Attach{"b", 2});
   sent_.clear();
-  Pass(milliseconds(4500));
+  AdvanceTime(milliseconds(4500));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(milliseconds(2500));
+  AdvanceTime(milliseconds(2500));
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].epoch, 2);
   EXPECT_EQ(Sent<VmInventory>()[0].status.incarnation, "");
 }
 
-TEST_F(ExecutorTest, RestartedExecutorWaitsOutLeasesThatItDoesNotKnow) {
+TEST_F(ExecutorTest, RestartedExecutorWaitsOutUnknownLeases) {
   now_ += seconds(100);
   ExecutorOptions options;
   TaskRunner silent;
-  silent.look = [](RunnerLook, auto) {};
+  silent.poll = [](RunnerPoll, auto) {};
   ExecutorHooks hooks;
   hooks.now = [this] { return now_; };
   hooks.send = [this](uint64_t link, const DispatchMessage& message) {
@@ -306,62 +309,62 @@
   hooks.log = [](const std::string&, const std::string&, const std::string&) {};
   executor_ = std::make_unique<Executor>(options, std::move(silent), hooks);
   executor_->OnMessage(kLink, ::beamhill::Attach{"a", 1});
-  Pass(seconds(6));
+  AdvanceTime(seconds(6));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(seconds(1));
+  AdvanceTime(seconds(1));
   EXPECT_THAT(Sent<VmInventory>(), SizeIs(1));
 }
 
-TEST_F(ExecutorTest, RunnerThatLeftIsReportedEmptyAfterAPause) {
-  Register("life-1");
+TEST_F(ExecutorTest, LeavingRunnerIsReportedEmptyAfterADelay) {
+  Register("incarnation-1");
   Attach(1);
   sent_.clear();
-  executor_->OnRunnerLeft("life-1");
-  Pass(milliseconds(300));
+  executor_->OnRunnerLeaving("incarnation-1");
+  AdvanceTime(milliseconds(300));
   EXPECT_THAT(Sent<VmInventory>(), IsEmpty());
-  Pass(milliseconds(400));
-  const auto asked = looks_.back().second;
+  AdvanceTime(milliseconds(400));
+  const auto answer = polls_.back().second;
   RunnerView gone;
   gone.reply.verdict = RunnerVerdict::kUnreachable;
-  asked(gone);
+  answer(gone);
   ASSERT_THAT(Sent<VmInventory>(), SizeIs(1));
   EXPECT_EQ(Sent<VmInventory>()[0].status.incarnation, "");
 }
 
-// What an image may still use goes to the first in the order: two that share
-// it would both be late.
-TEST_F(ExecutorTest, FirstFillerInTheOrderKeepsItsPaceLongest) {
-  Register("life-1");
+// The reduced share of an image goes to the run with the lowest rank; if two
+// runs shared it, both would be late.
+TEST_F(ExecutorTest, LowestBestEffortRankKeepsItsPaceLongest) {
+  Register("incarnation-1");
   Attach(1);
   const RunRef serving{{"w", 0, 0, 1}, 1};
   const RunRef later{{"later", 0, 0, 0}, 1};
   const RunRef first{{"first", 0, 0, 0}, 1};
-  Start(later, 1, {}, /*best_effort=*/true, /*yield_order=*/9);
-  Start(first, 1, {}, /*best_effort=*/true, /*yield_order=*/1);
+  Start(later, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/9);
+  Start(first, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/1);
   Start(serving, 1, milliseconds(20));
   AnswerAll(starts_);
-  Pass(milliseconds(300));
-  // Near its target: the image is to use two thirds of what it asks for.
-  AnswerLook({{later, 100, 2000}, {first, 100, 2000}, {serving, 100, 19}});
+  AdvanceTime(milliseconds(300));
+  // Near its target: the image is reduced to two thirds of what it requests.
+  AnswerPoll({{later, 100, 2000}, {first, 100, 2000}, {serving, 100, 19}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.run, later);
   EXPECT_LT(paces_[0].first.percent, 50);
 }
 
-TEST_F(ExecutorTest, ProcessorTimeThatIsShortGoesToTheFirstFillers) {
-  Register("life-1");
+TEST_F(ExecutorTest, ScarceCpuGoesToTheLowestBestEffortRanks) {
+  Register("incarnation-1");
   Attach(1);
-  // Five fillers of two cores each on eight cores, and nothing that serves.
+  // Five best-effort runs of two cores each on eight cores, no serving task.
   std::vector<RunningRun> running;
   for (uint32_t i = 0; i < 5; ++i) {
     const RunRef run{{"w", 0, 0, i}, 1};
-    Start(run, 1, {}, /*best_effort=*/true, /*yield_order=*/10 - i);
+    Start(run, 1, {}, /*best_effort=*/true, /*best_effort_rank=*/10 - i);
     running.push_back({run, 100, 1600});
   }
   AnswerAll(starts_);
-  Pass(milliseconds(300));
-  AnswerLook(running);
-  // The last one gets its least share, and all others what is left.
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
+  // The highest rank gets the minimum share, and the others what remains.
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[0].first.run.task.index, 1);
   EXPECT_EQ(paces_[0].first.percent, 90);
@@ -369,116 +372,115 @@
   EXPECT_EQ(paces_[1].first.percent, 10);
 }
 
-TEST_F(ExecutorTest, FillerIsPacedWhenItsNeighbourSuffers) {
-  FillBesideASufferingService();
+TEST_F(ExecutorTest, BestEffortRunIsSlowedWhenAServingTaskExceedsItsTarget) {
+  RunBestEffortBesideSlowService();
   ASSERT_FALSE(paces_.empty());
   EXPECT_EQ(paces_[0].first.run, kRun);
   EXPECT_LT(paces_[0].first.percent, 100);
   EXPECT_FALSE(Sent<VmInterference>().empty());
 }
 
-// It may work at full speed: an order that was lost is given again, however
-// slow the filler is to be.
+// The run may be at full pace if the order was lost, so the order is repeated,
+// however low the pace is.
 TEST_F(ExecutorTest, UnansweredPaceIsOrderedAgain) {
-  Register("life-1");
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1, {}, /*best_effort=*/true);
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
-  // Another task leaves nothing of eight cores: the least share remains.
+  // Another task uses all eight cores, which leaves the minimum share.
   const std::vector<RunningRun> running = {
       {kRun, 100, 0}, {{{"other", 0, 0, 0}, 1}, 100, 8000}};
-  Pass(milliseconds(300));
-  AnswerLook(running);
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.percent, 10);
   paces_[0].second({RunnerVerdict::kNoAnswer, std::nullopt});
-  Pass(milliseconds(300));
-  AnswerLook(running);
+  AdvanceTime(milliseconds(300));
+  AnswerPoll(running);
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[1].first.percent, 10);
 }
 
-// It was slow, and may have been carried out after the newer one: the filler
-// would crawl while it counts as being at its whole pace, and no look shows it.
-TEST_F(ExecutorTest, PaceThatIsAnsweredAfterANewerOneIsFollowedByAnother) {
-  Register("life-1");
+// The older order may have taken effect after the newer one. The run would then
+// stay slow while recorded at full pace, and polls would not show that.
+TEST_F(ExecutorTest, PaceAnsweredAfterANewerOneIsOrderedAgain) {
+  Register("incarnation-1");
   Attach(1);
   Start(kRun, 1, {}, /*best_effort=*/true);
   AnswerAll(starts_);
   const RunRef other{{"other", 0, 0, 0}, 1};
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 0}, {other, 100, 8000}});
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 0}, {other, 100, 1000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 0}, {other, 100, 8000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 0}, {other, 100, 1000}});
   ASSERT_THAT(paces_, SizeIs(2));
   EXPECT_EQ(paces_[0].first.percent, 10);
   EXPECT_EQ(paces_[1].first.percent, 100);
   paces_[1].second({RunnerVerdict::kDone, std::nullopt});
   paces_[0].second({RunnerVerdict::kDone, std::nullopt});
   for (int i = 0; i < 10 && paces_.size() < 3; ++i) {
-    Pass(milliseconds(300));
-    AnswerLook({{kRun, 100, 200}, {other, 100, 1000}});
+    AdvanceTime(milliseconds(300));
+    AnswerPoll({{kRun, 100, 200}, {other, 100, 1000}});
   }
   ASSERT_THAT(paces_, SizeIs(3));
   EXPECT_EQ(paces_[2].first.percent, 100);
   paces_[2].second({RunnerVerdict::kDone, std::nullopt});
-  Pass(milliseconds(300));
-  AnswerLook({{kRun, 100, 2000}, {other, 100, 1000}});
+  AdvanceTime(milliseconds(300));
+  AnswerPoll({{kRun, 100, 2000}, {other, 100, 1000}});
   EXPECT_THAT(paces_, SizeIs(3));
 }
 
-// An order that was carried out late undoes a newer one: the next looks show
-// it.
-TEST_F(ExecutorTest, FillerThatWorksThoughItRestsIsOrderedAgain) {
-  FillBesideASufferingService();
+// A delayed order can undo a newer one; the next polls show that.
+TEST_F(ExecutorTest, PausedRunThatIsActiveIsPausedAgain) {
+  RunBestEffortBesideSlowService();
   const RunRef serving{{"w", 0, 0, 1}, 1};
-  const auto suffer = [&](int64_t use) {
-    Pass(milliseconds(300));
-    AnswerLook({{kRun, 50, use}, {serving, 100, 45}});
+  const auto answer_slow_service = [&](int64_t use) {
+    AdvanceTime(milliseconds(300));
+    AnswerPoll({{kRun, 50, use}, {serving, 100, 45}});
     for (auto& [call, done] : std::exchange(paces_, {})) {
       last_pace_ = call.percent;
       done({RunnerVerdict::kDone, std::nullopt});
     }
   };
-  for (int i = 0; i < 6; ++i) suffer(0);
+  for (int i = 0; i < 6; ++i) answer_slow_service(0);
   ASSERT_EQ(last_pace_, 0);
   last_pace_ = -1;
-  for (int i = 0; i < 3; ++i) suffer(0);
-  EXPECT_EQ(last_pace_, -1);  // All is as ordered.
-  for (int i = 0; i < 3; ++i) suffer(2000);
+  for (int i = 0; i < 3; ++i) answer_slow_service(0);
+  EXPECT_EQ(last_pace_, -1);  // The run is paused as ordered.
+  for (int i = 0; i < 3; ++i) answer_slow_service(2000);
   EXPECT_EQ(last_pace_, 0);
 }
 
-// What an earlier run of this process has ordered isn't known.
-TEST_F(ExecutorTest, PaceOfARunFromBeforeARestartIsOrderedAnew) {
-  Register("life-1");
+// The pace ordered by an earlier incarnation of this process is unknown.
+TEST_F(ExecutorTest, PaceOfARunFromBeforeARestartIsOrderedAgain) {
+  Register("incarnation-1");
   Attach(1);
-  RunTraitsList list{1, "life-1", {{kRun, {"img", true, {}, 2000, 0}}}};
+  RunTraitsList list{1, "incarnation-1", {{kRun, {"img", true, {}, 2000, 0}}}};
   executor_->OnMessage(kLink, list);
-  AnswerLook({{kRun, 0, 0}});
+  AnswerPoll({{kRun, 0, 0}});
   ASSERT_THAT(paces_, SizeIs(1));
   EXPECT_EQ(paces_[0].first.percent, 100);
 }
 
-// A registration that a cut has held up arrives when its sender has crashed and
-// a new life has registered: it must not bring the dead one back.
-TEST_F(ExecutorTest, LateRegistrationOfAnEarlierLifeChangesNothing) {
-  Register("life-1");
-  Register("life-2");
+// A network partition delays a registration until its sender has crashed and a
+// new incarnation has registered. The earlier one must not replace the new one.
+TEST_F(ExecutorTest, DelayedRegistrationOfAnEarlierIncarnationIsIgnored) {
+  Register("incarnation-1");
+  Register("incarnation-2");
   Attach(1);
   Start(kRun, 1);
   ASSERT_THAT(starts_, SizeIs(1));
-  Register("life-1");
-  EXPECT_EQ(executor_->status().incarnation, "life-2");
+  Register("incarnation-1");
+  EXPECT_EQ(executor_->status().incarnation, "incarnation-2");
   starts_[0].second({RunnerVerdict::kDone, std::nullopt});
-  Register("life-3");
-  Register("life-2");
-  EXPECT_EQ(executor_->status().incarnation, "life-3");
+  Register("incarnation-3");
+  Register("incarnation-2");
+  EXPECT_EQ(executor_->status().incarnation, "incarnation-3");
 }
 
-// It begins at full speed, and until the next look nobody would hold it.
-TEST_F(ExecutorTest, NewFillerIsHeldToThePaceOfItsImageAtOnce) {
-  FillBesideASufferingService();
+// The run begins at full pace, and would keep it until the next poll.
+TEST_F(ExecutorTest, NewBestEffortRunIsPacedAtOnce) {
+  RunBestEffortBesideSlowService();
   AnswerAll(paces_);
   const RunRef fresh{{"fresh", 0, 0, 0}, 1};
   Start(fresh, 1, {}, /*best_effort=*/true);
--- a/beamhill/executor/executor_test_base.h
+++ b/beamhill/executor/executor_test_base.h
@@ -1,8 +1,8 @@
-// An Executor beside a runner whose answers the test gives, under an owner that
-// records what it is told; for the Executor's tests.
+// Fixture for tests of Executor: the test answers the calls to the runner
+// itself, and messages to the owner are recorded.
 //
-//   TEST_F(ExecutorTest, StartsWhatItIsTold) {
-//     Register("life-1");
+//   TEST_F(ExecutorTest, StartIsSentToTheRunner) {
+//     Register("incarnation-1");
 //     Attach(1);
 //     Start(kRun, 1);
 //     EXPECT_THAT(starts_, SizeIs(1));
@@ -28,7 +28,6 @@
 inline constexpr uint64_t kLink = 1;
 inline const RunRef kRun{{"w", 0, 0, 0}, 1};
 
-// A runner whose answers the test gives, and an owner that records.
 class ExecutorTest : public testing::Test {
  protected:
   ExecutorTest() {
@@ -42,8 +41,8 @@
     runner.pace = [this](RunnerPace call, auto done) {
       paces_.push_back({std::move(call), done});
     };
-    runner.look = [this](RunnerLook call, auto done) {
-      looks_.push_back({std::move(call), done});
+    runner.poll = [this](RunnerPoll call, auto done) {
+      polls_.push_back({std::move(call), done});
     };
     ExecutorHooks hooks;
     hooks.now = [this] { return now_; };
@@ -64,19 +63,19 @@
     VmStatus status;
     status.incarnation = incarnation;
     status.capacity = {8000, 16000, 0};
-    executor_->OnRunner(status, RunnerClock(1000));
+    executor_->OnRunnerRegistered(status, RunnerClock(1000));
   }
 
-  // The oldest open look is answered with what runs and what has ended.
-  void AnswerLook(std::vector<RunningRun> running = {},
+  // Answers the oldest poll in flight; waits up to 2 s for one to be sent.
+  void AnswerPoll(std::vector<RunningRun> running = {},
                   std::vector<RunEnd> ended = {}) {
-    for (int i = 0; looks_.empty() && i < 20; ++i) {
-      Pass(std::chrono::milliseconds(100));
+    for (int i = 0; polls_.empty() && i < 20; ++i) {
+      AdvanceTime(std::chrono::milliseconds(100));
     }
-    ASSERT_FALSE(looks_.empty());
-    const auto [call, done] = looks_.front();
-    looks_.pop_front();
-    last_look_ = call;
+    ASSERT_FALSE(polls_.empty());
+    const auto [call, done] = polls_.front();
+    polls_.pop_front();
+    last_poll_ = call;
     done({{RunnerVerdict::kDone, RunnerClock(1000)},
           std::move(running),
           std::move(ended)});
@@ -84,7 +83,7 @@
 
   void Attach(uint64_t epoch) {
     executor_->OnMessage(kLink, ::beamhill::Attach{"a", epoch});
-    AnswerLook();
+    AnswerPoll();
     executor_->OnMessage(kLink,
                          RenewLease{epoch, now_, std::chrono::seconds(5)});
   }
@@ -104,7 +103,7 @@
     executor_->OnMessage(kLink, starts);
   }
 
-  // All open calls are carried out, and those that waited for their turn.
+  // Answers all calls in flight as done, including those sent meanwhile.
   template <typename Calls>
   static void AnswerAll(Calls& calls) {
     while (!calls.empty()) {
@@ -114,17 +113,18 @@
     }
   }
 
-  // For 1.2 s, kRun fills beside a serving task that is far over its target.
-  void FillBesideASufferingService() {
-    Register("life-1");
+  // For 1.2 s, runs kRun as a best-effort run beside a serving task that is far
+  // over its target.
+  void RunBestEffortBesideSlowService() {
+    Register("incarnation-1");
     Attach(1);
     const RunRef serving{{"w", 0, 0, 1}, 1};
     Start(kRun, 1, {}, /*best_effort=*/true);
     Start(serving, 1, std::chrono::milliseconds(20));
     AnswerAll(starts_);
     for (int i = 0; i < 4; ++i) {
-      Pass(std::chrono::milliseconds(300));
-      AnswerLook({{kRun, 50, 4000}, {serving, 100, 45}});
+      AdvanceTime(std::chrono::milliseconds(300));
+      AnswerPoll({{kRun, 50, 4000}, {serving, 100, 45}});
     }
   }
 
@@ -137,7 +137,7 @@
     return found;
   }
 
-  void Pass(Duration time) {
+  void AdvanceTime(Duration time) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += std::chrono::milliseconds(100);
@@ -150,8 +150,8 @@
   std::deque<std::pair<RunnerStart, std::function<void(RunnerReply)>>> starts_;
   std::deque<std::pair<RunnerStop, std::function<void(RunnerReply)>>> stops_;
   std::deque<std::pair<RunnerPace, std::function<void(RunnerReply)>>> paces_;
-  std::deque<std::pair<RunnerLook, std::function<void(RunnerView)>>> looks_;
-  RunnerLook last_look_;
+  std::deque<std::pair<RunnerPoll, std::function<void(RunnerView)>>> polls_;
+  RunnerPoll last_poll_;
   std::vector<std::pair<uint64_t, DispatchMessage>> sent_;
   std::map<std::string, std::vector<std::string>> logged_;  // By event.
 };
--- a/beamhill/executor/vm_registration_test.cc
+++ b/beamhill/executor/vm_registration_test.cc
@@ -19,7 +19,7 @@
 using std::chrono::seconds;
 
 constexpr char kKey[] = "executors/vm-1";
-constexpr char kEarlierKey[] = "vms/vm-1";
+constexpr char kLegacyKey[] = "vms/vm-1";
 
 class VmRegistrationTest : public testing::Test {
  protected:
@@ -38,7 +38,7 @@
                                             std::move(table), std::move(hooks));
   }
 
-  void Pass(Duration time, VmRegistration& registration) {
+  void AdvanceTime(Duration time, VmRegistration& registration) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += milliseconds(100)) {
       registration.Tick();
@@ -62,26 +62,26 @@
 
 TEST_F(VmRegistrationTest, RowIsWrittenOnceAndNotByTheNextProcess) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   EXPECT_TRUE(first->stored());
   EXPECT_EQ(AddressIn(kKey), "10.0.0.1:1");
   EXPECT_EQ(writes(), 1);
   const auto next = Make("10.0.0.1:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   EXPECT_TRUE(next->stored());
   EXPECT_EQ(writes(), 1);
 }
 
-TEST_F(VmRegistrationTest, AnotherAddressIsStored) {
+TEST_F(VmRegistrationTest, ChangedAddressIsStored) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   const auto moved = Make("10.0.0.2:1");
-  Pass(seconds(1), *moved);
+  AdvanceTime(seconds(1), *moved);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
-// An earlier process wrote its address without an answer, was replaced at
-// another one, and the table carries the write out only now.
+// An earlier process got no answer to the write of its address and was replaced
+// by one with another address before the table carries out that write.
 TEST_F(VmRegistrationTest, LateWriteDoesNotBringAnEarlierAddressBack) {
   Table late = table_.AsTable();
   Transaction held;
@@ -89,16 +89,15 @@
     held = std::move(transaction);
   };
   const auto first = Make("10.0.0.1:1", late);
-  Pass(milliseconds(100), *first);
+  AdvanceTime(milliseconds(100), *first);
   const auto next = Make("10.0.0.2:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   EXPECT_EQ(table_.model().Commit(held).result, CommitResult::kConflict);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.2:1");
 }
 
-// At once and again at the same pace, hundreds of VMs keep a table busy with
-// refusals.
-TEST_F(VmRegistrationTest, RefusalsAreRepeatedAfterPausesThatGrow) {
+// Retries without backoff from hundreds of VMs would keep the table overloaded.
+TEST_F(VmRegistrationTest, FailedCallsAreRetriedWithGrowingBackoff) {
   Table refusing = table_.AsTable();
   int reads = 0;
   const auto read = refusing.read;
@@ -109,49 +108,50 @@
   };
   table_.set_fault(TableFault::kDown);
   const auto registration = Make("10.0.0.1:1", refusing);
-  Pass(seconds(30), *registration);
+  AdvanceTime(seconds(30), *registration);
   EXPECT_LE(reads, 12);
   table_.set_fault(TableFault::kNone);
-  Pass(seconds(7), *registration);
+  AdvanceTime(seconds(7), *registration);
   EXPECT_TRUE(registration->stored());
 }
 
-// A removal of an earlier process takes effect late; no owner finds the VM.
-TEST_F(VmRegistrationTest, RowThatGoesMissingIsStoredAgainWhileNoOwnerComes) {
+// A removal by an earlier process takes effect late, so no owner finds the VM.
+TEST_F(VmRegistrationTest, MissingRowIsStoredAgainWhileNoOwnerIsHeard) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   table_.model().Commit({{}, {{kKey, kAnyVersion, std::nullopt}}});
   since_owner_ = seconds(5);
-  Pass(seconds(11), *registration);
+  AdvanceTime(seconds(11), *registration);
   EXPECT_EQ(AddressIn(kKey), "10.0.0.1:1");
 }
 
-TEST_F(VmRegistrationTest, OwnedVmAsksTheTableNothing) {
+TEST_F(VmRegistrationTest, OwnedVmSendsNoRequestsToTheTable) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   const uint64_t reads = table_.model().counts().reads;
-  Pass(seconds(60), *registration);
+  AdvanceTime(seconds(60), *registration);
   EXPECT_EQ(table_.model().counts().reads, reads);
 }
 
-TEST_F(VmRegistrationTest, VmThatGoesForGoodLeavesNoRowOfAnyVersion) {
+TEST_F(VmRegistrationTest, WithdrawalRemovesRowsOfAllVersions) {
   table_.model().Commit(
-      {{}, {{kEarlierKey, 0, EncodeRecord(VmRecord{"vm-1", "10.0.0.1:1"})}}});
+      {{}, {{kLegacyKey, 0, EncodeRecord(VmRecord{"vm-1", "10.0.0.1:1"})}}});
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
-  EXPECT_EQ(AddressIn(kEarlierKey), "10.0.0.1:1");  // For earlier owners.
+  AdvanceTime(seconds(1), *registration);
+  // Kept for owners of earlier versions.
+  EXPECT_EQ(AddressIn(kLegacyKey), "10.0.0.1:1");
   bool done = false;
   registration->Withdraw([&] { done = true; });
   table_.Deliver();
   EXPECT_TRUE(done);
   EXPECT_TRUE(table_.model().rows().empty());
-  Pass(seconds(20), *registration);
+  AdvanceTime(seconds(20), *registration);
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, WithdrawalEndsThoughTheTableIsDown) {
+TEST_F(VmRegistrationTest, WithdrawalCompletesWhileTheTableIsDown) {
   const auto registration = Make("10.0.0.1:1");
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   table_.set_fault(TableFault::kDown);
   bool done = false;
   registration->Withdraw([&] { done = true; });
@@ -159,8 +159,9 @@
   EXPECT_TRUE(done);
 }
 
-// Owners would dial the VM for good, and each new one would wait for it.
-TEST_F(VmRegistrationTest, RowWhoseStoreWasNotAnsweredGoesWithTheVm) {
+// Otherwise owners would keep connecting to the VM, and each new owner would
+// wait for it.
+TEST_F(VmRegistrationTest, WithdrawalRemovesARowWhoseWriteWasNotAnswered) {
   table_.LoseNextCommitAnswer();
   const auto registration = Make("10.0.0.1:1");
   registration->Tick();
@@ -174,7 +175,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, RowThatIsBeingStoredGoesWithTheVm) {
+TEST_F(VmRegistrationTest, WithdrawalRemovesARowThatIsBeingWritten) {
   Table slow = table_.AsTable();
   std::vector<std::function<void()>> held;
   slow.commit = [&held, commit = slow.commit](Transaction transaction,
@@ -196,7 +197,7 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, RemovalThatGotLostIsRepeated) {
+TEST_F(VmRegistrationTest, RemovalWithUnknownOutcomeIsRepeated) {
   Table losing = table_.AsTable();
   bool lose = false;
   losing.commit = [&lose, commit = losing.commit](Transaction transaction,
@@ -208,7 +209,7 @@
     }
   };
   const auto registration = Make("10.0.0.1:1", losing);
-  Pass(seconds(1), *registration);
+  AdvanceTime(seconds(1), *registration);
   lose = true;
   bool done = false;
   registration->Withdraw([&] { done = true; });
@@ -217,11 +218,11 @@
   EXPECT_TRUE(table_.model().rows().empty());
 }
 
-TEST_F(VmRegistrationTest, WithdrawalLeavesTheRowOfALaterProcess) {
+TEST_F(VmRegistrationTest, WithdrawalKeepsTheRowOfALaterProcess) {
   const auto first = Make("10.0.0.1:1");
-  Pass(seconds(1), *first);
+  AdvanceTime(seconds(1), *first);
   const auto next = Make("10.0.0.2:1");
-  Pass(seconds(1), *next);
+  AdvanceTime(seconds(1), *next);
   bool done = false;
   first->Withdraw([&] { done = true; });
   table_.Deliver();
--- a/beamhill/replay/crashing_runner.cc
+++ b/beamhill/replay/crashing_runner.cc
@@ -62,7 +62,7 @@
     if (!up_ || life_ != asked) {
       done({RunnerVerdict::kNoAnswer, std::nullopt});
     } else if (incarnation != IncarnationName()) {
-      done(Reply(RunnerVerdict::kOtherLife));
+      done(Reply(RunnerVerdict::kOtherIncarnation));
     } else {
       done(Reply(act()));
     }
@@ -80,7 +80,7 @@
   hooks.pace = [this](RunnerPace call, auto done) {
     Call(call.incarnation, done, [] { return RunnerVerdict::kDone; });
   };
-  hooks.look = [this](RunnerLook call, auto done) { Look(call, done); };
+  hooks.poll = [this](RunnerPoll call, auto done) { Look(call, done); };
   return hooks;
 }
 
@@ -122,39 +122,39 @@
   ended_.push_back({next_end_++, run, kind, ""});
   if (!waiting_) return;
   const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-  AnswerLook(look.settled_through, look.done);
+  AnswerLook(look.acknowledged_through, look.done);
 }
 
-void CrashingRunner::Look(const RunnerLook& call,
+void CrashingRunner::Look(const RunnerPoll& call,
                           const std::function<void(RunnerView)>& done) {
   if (!up_ || call.incarnation != IncarnationName()) {
     RunnerView view;
     view.reply.verdict =
-        up_ ? RunnerVerdict::kOtherLife : RunnerVerdict::kUnreachable;
+        up_ ? RunnerVerdict::kOtherIncarnation : RunnerVerdict::kUnreachable;
     time_.After(kCallTime, [done, view] { done(view); });
     return;
   }
   if (call.wait.count() == 0) {
-    AnswerLook(call.settled_through, done);
+    AnswerLook(call.acknowledged_through, done);
     return;
   }
   const uint64_t number = next_look_++;
-  waiting_ = WaitingLook{number, call.settled_through, done};
+  waiting_ = WaitingLook{number, call.acknowledged_through, done};
   time_.After(call.wait, [this, number] {
     if (!waiting_ || waiting_->number != number) return;
     const WaitingLook look = *std::exchange(waiting_, std::nullopt);
-    AnswerLook(look.settled_through, look.done);
+    AnswerLook(look.acknowledged_through, look.done);
   });
 }
 
-void CrashingRunner::AnswerLook(uint64_t settled_through,
+void CrashingRunner::AnswerLook(uint64_t acknowledged_through,
                                 const std::function<void(RunnerView)>& done) {
   const int asked = life_;
-  time_.After(kCallTime, [this, settled_through, done, asked] {
+  time_.After(kCallTime, [this, acknowledged_through, done, asked] {
     RunnerView view;
     if (up_ && life_ == asked) {
       const auto settled = [&](const RunEnd& end) {
-        return end.number <= settled_through;
+        return end.number <= acknowledged_through;
       };
       ended_.erase(std::remove_if(ended_.begin(), ended_.end(), settled),
                    ended_.end());
--- a/beamhill/replay/harm_bound_test.cc
+++ b/beamhill/replay/harm_bound_test.cc
@@ -45,7 +45,7 @@
                                              Resources{64000, 256000, 0});
     executor_ = std::make_unique<Executor>(ExecutorOptions{}, FaultyHooks(),
                                            HooksOfExecutor());
-    executor_->OnRunner(Status(), RunnerClock(1));
+    executor_->OnRunnerRegistered(Status(), RunnerClock(1));
     TakeOver();
   }
 
@@ -123,13 +123,13 @@
   TaskRunner FaultyHooks() {
     TaskRunner sound = runner_->Hooks();
     TaskRunner faulty = sound;
-    faulty.look = [this, sound](const RunnerLook& call, auto done) {
-      sound.look(call, [this, done](RunnerView view) {
+    faulty.poll = [this, sound](const RunnerPoll& call, auto done) {
+      sound.poll(call, [this, done](RunnerView view) {
         for (RunningRun& run : view.running) {
           if (!Serves(run.run)) continue;
           const double rough = 0.9 + 0.2 * Uniform();
-          run.measure = static_cast<int64_t>(
-              std::lround(rough * static_cast<double>(run.measure)));
+          run.measurement = static_cast<int64_t>(
+              std::lround(rough * static_cast<double>(run.measurement)));
         }
         const auto late = milliseconds(static_cast<int>(200 * Uniform()));
         time_.After(late, [done, view = std::move(view)] { done(view); });
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -33,7 +33,7 @@
     };
     runner.stop = [](const RunnerStop&, auto) {};
     runner.pace = [](const RunnerPace&, auto) {};
-    runner.look = [this](const RunnerLook&, auto done) {
+    runner.poll = [this](const RunnerPoll&, auto done) {
       looks_.push_back(done);
     };
     ExecutorHooks hooks;
@@ -44,7 +44,7 @@
     hooks.log = [](const std::string&, const std::string&, const std::string&) {
     };
     executor_ = std::make_unique<Executor>(ExecutorOptions{}, runner, hooks);
-    executor_->OnRunner(StatusOf("vm-1"), RunnerClock(1));
+    executor_->OnRunnerRegistered(StatusOf("vm-1"), RunnerClock(1));
   }
 
   static VmStatus StatusOf(const std::string& vm) {
