--- a/beamhill/dispatch/dispatch_advice.cc
+++ b/beamhill/dispatch/dispatch_advice.cc
@@ -37,10 +37,12 @@
   std::vector<std::string> runners;
   for (const auto& [name, vm] : vms_) {
     if (!Fits(vm, name, job, workflow.steps[open.step], now)) continue;
-    if (TicketFor(job, open, vm.status.incarnation, now) != nullptr)
+    if (TicketFor(job, open, vm.status.incarnation, now) != nullptr) {
       return true;
-    if (runners.size() < kRunnersPerRequest)
+    }
+    if (runners.size() < kRunnersPerRequest) {
       runners.push_back(vm.status.incarnation);
+    }
   }
   if (!advice.request_pending && now >= advice.retry_at && !runners.empty()) {
     advice.request_pending = true;
--- a/beamhill/dispatch/dispatch_commit.cc
+++ b/beamhill/dispatch/dispatch_commit.cc
@@ -20,8 +20,9 @@
 void Dispatcher::AcknowledgeEnds(const EndsByVm& ends) {
   for (const auto& [name, end] : ends) {
     Vm& vm = vms_[name];
-    if (vm.status.incarnation != end.first || vm.acked_end >= end.second)
+    if (vm.status.incarnation != end.first || vm.acked_end >= end.second) {
       continue;
+    }
     // Sent later, once the VM is reachable.
     if (!vm.linked || !vm.has_inventory) continue;
     vm.acked_end = end.second;
@@ -32,8 +33,9 @@
 Dispatcher::EndsByVm Dispatcher::UnacknowledgedEnds() const {
   EndsByVm ends;
   for (const auto& [name, vm] : vms_) {
-    if (vm.last_end > vm.acked_end)
+    if (vm.last_end > vm.acked_end) {
       ends[name] = {vm.status.incarnation, vm.last_end};
+    }
   }
   return ends;
 }
--- a/beamhill/dispatch/dispatch_halls_test.cc
+++ b/beamhill/dispatch/dispatch_halls_test.cc
@@ -132,8 +132,9 @@
   ConnectOneVmPerHall();
   dispatcher_->AddWorkflow(SingleStepWorkflow("a", 8, 2), std::nullopt, now_);
   for (const auto& [vm, run] : Tick().starts) {
-    if (vm == "vm-s")
+    if (vm == "vm-s") {
       ReceiveEnd(vm, run.task.index + 1, run, RunEndKind::kDone);
+    }
   }
   Evacuate({"north"});
   dispatcher_->OnLinkDown("vm-n");
--- a/beamhill/dispatch/dispatch_stops_test.cc
+++ b/beamhill/dispatch/dispatch_stops_test.cc
@@ -46,8 +46,9 @@
   // Reports a run of an unknown workflow on vm-1 until it is to be stopped.
   void ReportUnknownRun() {
     dispatcher_->OnLinkUp("vm-1");
-    for (int i = 0; i < 5; ++i)
+    for (int i = 0; i < 5; ++i) {
       ReceiveInventory("vm-1", {SingleStepRun("unknown", 0, 1)});
+    }
     ASSERT_EQ(dispatcher_->Summary(now_).stops, 1);
   }
 };
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -182,16 +182,19 @@
   } else if (const auto* renew = std::get_if<RenewLease>(&message)) {
     if (renew->epoch == epoch_ && owner_link_ == link) OnRenew(*renew);
   } else if (const auto* starts = std::get_if<StartRuns>(&message)) {
-    if (IsCurrent(link, starts->epoch, starts->incarnation))
+    if (IsCurrent(link, starts->epoch, starts->incarnation)) {
       OnStartRuns(*starts);
+    }
   } else if (const auto* stops = std::get_if<StopRuns>(&message)) {
     if (IsCurrent(link, stops->epoch, stops->incarnation)) OnStopRuns(*stops);
   } else if (const auto* acks = std::get_if<EndsAcknowledged>(&message)) {
-    if (IsCurrent(link, acks->epoch, acks->incarnation))
+    if (IsCurrent(link, acks->epoch, acks->incarnation)) {
       OnEndsAcknowledged(*acks);
+    }
   } else if (const auto* traits = std::get_if<RunTraitsList>(&message)) {
-    if (IsCurrent(link, traits->epoch, traits->incarnation))
+    if (IsCurrent(link, traits->epoch, traits->incarnation)) {
       OnRunTraits(*traits);
+    }
   } else if (const auto* learned = std::get_if<InterferenceWeights>(&message)) {
     if (owner_link_ == link && learned->epoch == epoch_) OnWeights(*learned);
   } else if (const auto* policy = std::get_if<PacePolicyNotice>(&message)) {
