--- a/beamhill/dispatch/dispatch_summary.cc
+++ b/beamhill/dispatch/dispatch_summary.cc
@@ -89,7 +89,7 @@
 std::string Dispatcher::Dump(TimePoint now) const {
   std::ostringstream out;
   out << "epoch " << options_.epoch << " workflows " << jobs_.size()
-      << " unreconciled " << unreconciled_.size() << "\n";
+      << " unaccounted " << unreconciled_.size() << "\n";
   for (const std::string& hall : evacuations_.halls) {
     out << "evacuated hall " << hall << "\n";
   }
@@ -97,9 +97,8 @@
     out << "vm " << name << " life " << vm.status.incarnation << " answered "
         << vm.has_inventory << " held " << vm.held.size() << " stops "
         << vm.stops.size() << " used " << vm.used.cpu_millis << "/"
-        << vm.status.capacity.cpu_millis << " best_effort "
-        << vm.best_effort_cpu << " lease_ms " << ToMillis(vm.lease_bound - now)
-        << "\n";
+        << vm.status.capacity.cpu_millis << " filling " << vm.best_effort_cpu
+        << " lease_ms " << ToMillis(vm.lease_bound - now) << "\n";
   }
   for (const TaskRef& task : suspects_) {
     const auto job = jobs_.find(task.workflow);
@@ -108,7 +107,7 @@
         << job->second->progress.At(task).crashed_runs.size() << "\n";
   }
   for (const auto& weight : interference_.Weights()) {
-    out << "interference " << weight.best_effort << " on " << weight.serving
+    out << "pressure " << weight.best_effort << " on " << weight.serving
         << " ms " << ToMillis(weight.per_vm) << "\n";
   }
   for (const auto& [id, job] : jobs_) {
--- a/beamhill/executor/executor_process.cc
+++ b/beamhill/executor/executor_process.cc
@@ -58,43 +58,41 @@
       return static_cast<double>(executor->counts().*count);
     });
   };
-  gauge("beamhill_starts_total", "Start calls sent to the runner.",
+  gauge("beamhill_starts_total", "Starts asked of the runner.",
         &ExecutorCounts::starts);
-  gauge("beamhill_starts_refused_total", "Start calls that the runner refused.",
+  gauge("beamhill_starts_refused_total", "Starts that the runner refused.",
         &ExecutorCounts::refused);
-  gauge("beamhill_starts_unanswered_total", "Start calls that got no answer.",
+  gauge("beamhill_starts_unanswered_total", "Starts without an answer.",
         &ExecutorCounts::unanswered);
-  gauge("beamhill_looks_total", "Polls sent to the runner.",
-        &ExecutorCounts::polls);
-  gauge("beamhill_paces_total", "Changes to the pace of best-effort tasks.",
+  gauge("beamhill_looks_total", "Looks at the runner.", &ExecutorCounts::polls);
+  gauge("beamhill_paces_total", "Changes of fillers' pace.",
         &ExecutorCounts::paces);
   gauge("beamhill_stale_orders_total",
-        "Orders ignored as from an earlier owner, link or runner incarnation.",
+        "Orders of an earlier owner, link or runner.",
         &ExecutorCounts::stale_orders);
   gauge("beamhill_starts_withdrawn_total",
-        "Starts withdrawn by a stop before they were sent to the runner.",
+        "Starts that a stop withdrew before they left for the runner.",
         &ExecutorCounts::withdrawn);
   gauge("beamhill_starts_outdated_total",
-        "Starts returned to the owner because they could not be sent in time.",
+        "Starts given back since they could not leave in time.",
         &ExecutorCounts::outdated);
   metrics.AddGauge(
-      "beamhill_starts_waiting", "Starts queued for the runner.",
+      "beamhill_starts_waiting",
+      "Starts that wait for their turn at the runner.",
       [executor] { return static_cast<double>(executor->starts_waiting()); });
-  gauge("beamhill_stops_total", "Stop calls sent to the runner.",
+  gauge("beamhill_stops_total", "Stops asked of the runner.",
         &ExecutorCounts::stops);
-  gauge("beamhill_stops_overdue_total",
-        "Ordered stops that exceeded the time limit.",
+  gauge("beamhill_stops_overdue_total", "Ordered stops that took too long.",
         &ExecutorCounts::stops_overdue);
-  gauge(
-      "beamhill_stops_in_vain_total",
-      "Stops repeated because the run continued after the runner accepted one.",
-      &ExecutorCounts::stops_ineffective);
-  metrics.AddGauge(
-      "beamhill_oldest_stop_seconds",
-      "Age of the oldest ordered stop that is not completed.",
-      [executor] { return ToMillis(executor->OldestStop()) / 1000; });
+  gauge("beamhill_stops_in_vain_total",
+        "Stops asked once more since the runner took one and the run went on.",
+        &ExecutorCounts::stops_ineffective);
+  metrics.AddGauge("beamhill_oldest_stop_seconds",
+                   "Since when an ordered stop is not settled.", [executor] {
+                     return ToMillis(executor->OldestStop()) / 1000;
+                   });
   gauge("beamhill_runners_lost_total",
-        "Runner incarnations that ended unannounced.",
+        "Lives of the runner that ended unannounced.",
         &ExecutorCounts::runners_lost);
 }
 
--- a/beamhill/scheduler/scheduler.cc
+++ b/beamhill/scheduler/scheduler.cc
@@ -49,31 +49,29 @@
       owner_queries_(loop),
       relays_(loop),
       queried_peers_(loop, QueryHooks()) {
-  owner_metrics_.commit =
-      &metrics.AddLatency("beamhill_commit_latency",
-                          "Time from sending a transaction to its answer.");
+  owner_metrics_.commit = &metrics.AddLatency(
+      "beamhill_commit_latency", "From sending a transaction to its answer.");
   owner_metrics_.starts =
-      &metrics.AddCounter("beamhill_starts_total", "Ordered task starts.");
+      &metrics.AddCounter("beamhill_starts_total", "Tasks ordered to start.");
   metrics.AddGauge(
       "beamhill_oldest_orphan_seconds",
-      "Time since the oldest workflow ended of which VMs still hold runs.",
-      [this] {
+      "Since when a workflow is over whose runs VMs still hold.", [this] {
         return owner_ ? ToMillis(owner_->OldestOrphan()) / 1000 : 0.0;
       });
   metrics.AddGauge(
       "beamhill_oldest_stop_seconds",
-      "Age of the oldest stop that is not known to be carried out.",
+      "Since when a decided stop is not known to be carried out.",
       [this] { return owner_ ? ToMillis(owner_->OldestStop()) / 1000 : 0.0; });
   metrics.AddGauge("beamhill_owner", "1 while this process owns the work.",
                    [this] { return owns() ? 1.0 : 0.0; });
   metrics.AddGauge(
-      "beamhill_workflows", "Workflows known to the owner.", [this] {
+      "beamhill_workflows", "Workflows that the owner knows.", [this] {
         return owner_ && owner_->loaded()
                    ? static_cast<double>(owner_->dispatcher()->workflows())
                    : 0.0;
       });
   metrics.AddGauge(
-      "beamhill_evacuated_halls", "Data halls to be evacuated.", [this] {
+      "beamhill_evacuated_halls", "Data halls that are to be emptied.", [this] {
         return static_cast<double>(hooks_.evacuations().halls.size());
       });
   CreateKeeper();
--- a/beamhill/standby/standby_owner.cc
+++ b/beamhill/standby/standby_owner.cc
@@ -32,7 +32,7 @@
       table_(std::move(table)),
       hooks_(std::move(hooks)) {
   metrics.AddGauge("beamhill_standing_in",
-                   "1 while this process acts as standby for the schedulers.",
+                   "1 while this process stands in for schedulers.",
                    [this] { return is_active() ? 1.0 : 0.0; });
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
 }
