--- a/beamhill/http/http_client.cc
+++ b/beamhill/http/http_client.cc
@@ -51,7 +51,7 @@
     Stream stream;
     Done done;
     // Of a question.
-    std::function<std::string(const HttpResponse&)> name_of;
+    std::function<std::string(const HttpResponse&)> parse_peer_name;
     Timer deadline;
     bool failed_after_connect = false;
   };
@@ -125,8 +125,8 @@
     const std::unique_ptr<Pending> owned = std::move(it->second);
     open.erase(it);
     ConnectionPtr connection = std::move(owned->connection);
-    if (owned->name_of && outcome.delivery == HttpDelivery::kAnswered) {
-      connection->peer = owned->name_of(outcome.response);
+    if (owned->parse_peer_name && outcome.delivery == HttpDelivery::kAnswered) {
+      connection->peer = owned->parse_peer_name(outcome.response);
     }
     if (reuse && !connection->closed) {
       idle.push_back(std::move(connection));
@@ -213,8 +213,8 @@
     Send(call, timeout, std::move(connection), std::move(pending));
   }
 
-  void StartFrom(const HttpPeer& peer, const HttpCall& call, Duration timeout,
-                 Done done) {
+  void StartFrom(const HttpPeerIdentity& peer, const HttpCall& call,
+                 Duration timeout, Done done) {
     if (ConnectionPtr connection = TakeIdleOf(peer.name)) {
       SendOn(std::move(connection), call, timeout, std::move(done));
       return;
@@ -226,19 +226,21 @@
     }
     const TimePoint deadline = BootClock::now() + timeout;
     auto question = std::make_unique<Pending>();
-    question->name_of = peer.name_of;
-    question->done = [this, name = peer.name, name_of = peer.name_of, call,
-                      deadline, done = std::move(done)](HttpOutcome outcome) {
+    question->parse_peer_name = peer.parse_peer_name;
+    question->done = [this, name = peer.name,
+                      parse_peer_name = peer.parse_peer_name, call, deadline,
+                      done = std::move(done)](HttpOutcome outcome) {
       const bool answered = outcome.delivery == HttpDelivery::kAnswered;
       outcome.delivery = HttpDelivery::kNotSent;
-      if (!answered || name_of(outcome.response) != name) {
+      if (!answered || parse_peer_name(outcome.response) != name) {
         done(outcome);
         return;
       }
       outcome.response = {};
       if (!SendToAnswered(name, call, deadline, done)) done(outcome);
     };
-    Send(peer.question, timeout, std::move(connection), std::move(question));
+    Send(peer.identity_request, timeout, std::move(connection),
+         std::move(question));
   }
 
   // Over the connection of the peer that has just answered, which is the idle
@@ -322,7 +324,7 @@
   impl_->Start(call, timeout, std::move(stream), std::move(done));
 }
 
-void HttpClient::FetchFrom(const HttpPeer& peer, const HttpCall& call,
+void HttpClient::FetchFrom(const HttpPeerIdentity& peer, const HttpCall& call,
                            Duration timeout, Done done) {
   impl_->StartFrom(peer, call, timeout, std::move(done));
 }
--- a/beamhill/http/http_client.h
+++ b/beamhill/http/http_client.h
@@ -40,12 +40,12 @@
 };
 
 // Which process at the server's address a call is meant for.
-struct HttpPeer {
+struct HttpPeerIdentity {
   std::string name;
   // Asked first on each new connection. It must do no harm to any process.
-  HttpCall question;
+  HttpCall identity_request;
   // Names the process that gave this answer; empty where it doesn't tell.
-  std::function<std::string(const HttpResponse&)> name_of;
+  std::function<std::string(const HttpResponse&)> parse_peer_name;
 };
 
 enum class HttpDelivery {
@@ -85,8 +85,8 @@
 
   // As Fetch, for the process that is meant and no other. `timeout` holds for
   // the question and the call together.
-  void FetchFrom(const HttpPeer& peer, const HttpCall& call, Duration timeout,
-                 Done done);
+  void FetchFrom(const HttpPeerIdentity& peer, const HttpCall& call,
+                 Duration timeout, Done done);
 
   size_t open_connections() const;
 
--- a/beamhill/http/http_client_test.cc
+++ b/beamhill/http/http_client_test.cc
@@ -45,9 +45,9 @@
 
   // For the process that answers questions with this name.
   void FetchFrom(const std::string& peer) {
-    HttpPeer meant{peer, {"GET", "/who", {}, ""}, [](const HttpResponse& r) {
-                     return r.body;
-                   }};
+    HttpPeerIdentity meant{peer,
+                           {"GET", "/who", {}, ""},
+                           [](const HttpResponse& r) { return r.body; }};
     client_->FetchFrom(meant, {"GET", "/", {}, ""}, seconds(5),
                        [this](const HttpOutcome& outcome) {
                          outcomes_.push_back(outcome);
