--- a/beamhill/http/http_client.cc
+++ b/beamhill/http/http_client.cc
@@ -17,7 +17,7 @@
 
 constexpr size_t kMaxHeaderBytes = 64 * 1024;
 
-evhttp_cmd_type MethodOf(const std::string& name) {
+evhttp_cmd_type ParseMethod(const std::string& name) {
   static const std::map<std::string, evhttp_cmd_type> kMethods = {
       {"GET", EVHTTP_REQ_GET},       {"POST", EVHTTP_REQ_POST},
       {"HEAD", EVHTTP_REQ_HEAD},     {"PUT", EVHTTP_REQ_PUT},
@@ -30,7 +30,7 @@
 }  // namespace
 
 struct HttpClient::Impl {
-  struct FreeConnection {
+  struct ConnectionDeleter {
     void operator()(evhttp_connection* raw) const {
       evhttp_connection_set_closecb(raw, nullptr, nullptr);
       evhttp_connection_free(raw);
@@ -38,9 +38,13 @@
   };
   struct Connection {
     Impl* owner = nullptr;
-    std::unique_ptr<evhttp_connection, FreeConnection> raw;
-    std::string peer;     // Who has answered on it; empty: nobody was asked.
-    bool closed = false;  // evhttp would open it again, to anyone.
+    std::unique_ptr<evhttp_connection, ConnectionDeleter> raw;
+    // Name of the process that answered the identity request on this
+    // connection; empty when none was sent.
+    std::string peer;
+    // Set when the server closed the connection. evhttp would reconnect on the
+    // next request, possibly to another process.
+    bool closed = false;
   };
   using ConnectionPtr = std::unique_ptr<Connection>;
 
@@ -50,7 +54,7 @@
     evhttp_request* raw = nullptr;
     Stream stream;
     Done done;
-    // Of a question.
+    // Set for an identity request only.
     std::function<std::string(const HttpResponse&)> parse_peer_name;
     Timer deadline;
     bool failed_after_connect = false;
@@ -59,9 +63,9 @@
   Impl(EventLoop& l, Address s, size_t max)
       : loop(l), server(std::move(s)), max_connections(max) {}
 
-  // Connections go before the calls that are open on them.
+  // Frees the connections before the pending calls that their callbacks use.
   ~Impl() {
-    for (auto& [key, pending] : open) pending->connection.reset();
+    for (auto& [key, pending] : in_flight) pending->connection.reset();
   }
 
   ConnectionPtr Connect() {
@@ -86,12 +90,14 @@
     const auto it = std::find_if(
         idle.begin(), idle.end(),
         [connection](const auto& entry) { return entry.get() == connection; });
-    if (it == idle.end()) return;  // Its call ends with it.
-    FreeLater(std::move(*it));
+    // A connection in use is freed when its call finishes.
+    if (it == idle.end()) return;
+    DeferFree(std::move(*it));
     idle.erase(it);
   }
 
-  // The idle connection that was used last; null when there is none.
+  // Removes and returns the most recently used idle connection, or null when
+  // there is none.
   ConnectionPtr TakeIdle() {
     if (idle.empty()) return nullptr;
     ConnectionPtr connection = std::move(idle.back());
@@ -99,31 +105,36 @@
     return connection;
   }
 
-  // The same, of that peer. Those of others are of no use any more.
-  ConnectionPtr TakeIdleOf(const std::string& peer) {
+  // Like TakeIdle, but only returns a connection to `peer`. Frees the idle
+  // connections to other processes that it passes over: these processes have
+  // been replaced.
+  ConnectionPtr TakeIdleForPeer(const std::string& peer) {
     while (ConnectionPtr connection = TakeIdle()) {
       if (connection->peer == peer) return connection;
-      FreeLater(std::move(connection));
+      DeferFree(std::move(connection));
     }
     return nullptr;
   }
 
-  // Null when the pool is full.
+  // Returns null when the limit of calls in flight is reached.
   ConnectionPtr ConnectIfAllowed() {
-    return open.size() < max_connections ? Connect() : nullptr;
+    return in_flight.size() < max_connections ? Connect() : nullptr;
   }
 
-  // Frees the connection outside of its own callbacks.
-  void FreeLater(ConnectionPtr connection) {
-    dying.push_back(std::move(connection));
-    reaper = loop.After(Duration(0), [this] { dying.clear(); });
+  // Frees the connection from the event loop, since evhttp does not allow that
+  // inside the connection's callbacks.
+  void DeferFree(ConnectionPtr connection) {
+    connections_to_free.push_back(std::move(connection));
+    free_timer =
+        loop.After(Duration(0), [this] { connections_to_free.clear(); });
   }
 
-  // Removes the call from the table and reports its outcome.
+  // Reports the call's outcome and returns its connection to the pool, or frees
+  // the connection when `reuse` is false or the server has closed it.
   void Finish(Pending* pending, HttpOutcome outcome, bool reuse) {
-    const auto it = open.find(pending);
+    const auto it = in_flight.find(pending);
     const std::unique_ptr<Pending> owned = std::move(it->second);
-    open.erase(it);
+    in_flight.erase(it);
     ConnectionPtr connection = std::move(owned->connection);
     if (owned->parse_peer_name && outcome.delivery == HttpDelivery::kAnswered) {
       connection->peer = owned->parse_peer_name(outcome.response);
@@ -131,7 +142,7 @@
     if (reuse && !connection->closed) {
       idle.push_back(std::move(connection));
     } else {
-      FreeLater(std::move(connection));
+      DeferFree(std::move(connection));
     }
     owned->deadline.Cancel();
     owned->done(outcome);
@@ -141,7 +152,7 @@
     static_cast<Pending*>(arg)->failed_after_connect = true;
   }
 
-  static int OnHead(evhttp_request* raw, void* arg) {
+  static int OnResponseHead(evhttp_request* raw, void* arg) {
     auto* pending = static_cast<Pending*>(arg);
     if (pending->stream.on_head) {
       pending->stream.on_head(
@@ -151,14 +162,15 @@
     return 0;
   }
 
-  static void OnChunk(evhttp_request* raw, void* arg) {
+  static void OnBodyChunk(evhttp_request* raw, void* arg) {
     auto* pending = static_cast<Pending*>(arg);
     pending->stream.on_bytes(
         http_internal::Drain(evhttp_request_get_input_buffer(raw)));
   }
 
-  // evhttp reports a failed connect as a request with status 0 and no error
-  // callback; any failure after the connect comes through the error callback.
+  // evhttp reports a failed connect as a request with status 0 without calling
+  // the error callback; it calls the error callback for every failure after the
+  // connect.
   static void OnComplete(evhttp_request* raw, void* arg) {
     auto* pending = static_cast<Pending*>(arg);
     HttpOutcome outcome;
@@ -184,11 +196,11 @@
     pending->owner->Finish(pending, std::move(outcome), reuse);
   }
 
-  // Connections of a pool go silent together, when what lies between does; so
-  // after one that did, the idle ones are not trusted with a call either.
+  // Frees all idle connections. After a timeout, the network path is likely to
+  // have failed for all of them, and each would cost another call its timeout.
   void DropIdle() {
     for (ConnectionPtr& connection : std::exchange(idle, {})) {
-      FreeLater(std::move(connection));
+      DeferFree(std::move(connection));
     }
   }
 
@@ -204,7 +216,7 @@
     ConnectionPtr connection = TakeIdle();
     if (connection == nullptr) connection = ConnectIfAllowed();
     if (connection == nullptr) {
-      RefuseLater(std::move(done));
+      DeferNotSent(std::move(done));
       return;
     }
     auto pending = std::make_unique<Pending>();
@@ -213,56 +225,57 @@
     Send(call, timeout, std::move(connection), std::move(pending));
   }
 
-  void StartFrom(const HttpPeerIdentity& peer, const HttpCall& call,
-                 Duration timeout, Done done) {
-    if (ConnectionPtr connection = TakeIdleOf(peer.name)) {
-      SendOn(std::move(connection), call, timeout, std::move(done));
+  void StartForPeer(const HttpPeerIdentity& peer, const HttpCall& call,
+                    Duration timeout, Done done) {
+    if (ConnectionPtr connection = TakeIdleForPeer(peer.name)) {
+      SendOverConnection(std::move(connection), call, timeout, std::move(done));
       return;
     }
     ConnectionPtr connection = ConnectIfAllowed();
     if (connection == nullptr) {
-      RefuseLater(std::move(done));
+      DeferNotSent(std::move(done));
       return;
     }
     const TimePoint deadline = BootClock::now() + timeout;
-    auto question = std::make_unique<Pending>();
-    question->parse_peer_name = peer.parse_peer_name;
-    question->done = [this, name = peer.name,
-                      parse_peer_name = peer.parse_peer_name, call, deadline,
-                      done = std::move(done)](HttpOutcome outcome) {
-      const bool answered = outcome.delivery == HttpDelivery::kAnswered;
-      outcome.delivery = HttpDelivery::kNotSent;
-      if (!answered || parse_peer_name(outcome.response) != name) {
-        done(outcome);
-        return;
-      }
-      outcome.response = {};
-      if (!SendToAnswered(name, call, deadline, done)) done(outcome);
-    };
+    auto identity_call = std::make_unique<Pending>();
+    identity_call->parse_peer_name = peer.parse_peer_name;
+    identity_call->done =
+        [this, name = peer.name, parse_peer_name = peer.parse_peer_name, call,
+         deadline, done = std::move(done)](HttpOutcome outcome) {
+          const bool answered = outcome.delivery == HttpDelivery::kAnswered;
+          outcome.delivery = HttpDelivery::kNotSent;
+          if (!answered || parse_peer_name(outcome.response) != name) {
+            done(outcome);
+            return;
+          }
+          outcome.response = {};
+          if (!SendToIdentifiedPeer(name, call, deadline, done)) done(outcome);
+        };
     Send(peer.identity_request, timeout, std::move(connection),
-         std::move(question));
+         std::move(identity_call));
   }
 
-  // Over the connection of the peer that has just answered, which is the idle
-  // one that was used last; false when that is closed, or the time is over.
-  bool SendToAnswered(const std::string& peer, const HttpCall& call,
-                      TimePoint deadline, const Done& done) {
+  // Sends the call over the connection on which `peer` has just answered its
+  // identity request; this is the most recently used idle one. Returns false
+  // without sending when that connection is closed or the deadline has passed.
+  bool SendToIdentifiedPeer(const std::string& peer, const HttpCall& call,
+                            TimePoint deadline, const Done& done) {
     const TimePoint now = BootClock::now();
     if (now >= deadline) return false;
-    ConnectionPtr connection = TakeIdleOf(peer);
+    ConnectionPtr connection = TakeIdleForPeer(peer);
     if (connection == nullptr) return false;
-    SendOn(std::move(connection), call, deadline - now, done);
+    SendOverConnection(std::move(connection), call, deadline - now, done);
     return true;
   }
 
-  void SendOn(ConnectionPtr connection, const HttpCall& call, Duration timeout,
-              Done done) {
+  void SendOverConnection(ConnectionPtr connection, const HttpCall& call,
+                          Duration timeout, Done done) {
     auto pending = std::make_unique<Pending>();
     pending->done = std::move(done);
     Send(call, timeout, std::move(connection), std::move(pending));
   }
 
-  // `pending` holds what to do with the answer.
+  // Sends the request. `owned` carries the callbacks for its response.
   void Send(const HttpCall& call, Duration timeout, ConnectionPtr connection,
             std::unique_ptr<Pending> owned) {
     Pending* pending = owned.get();
@@ -272,8 +285,8 @@
     pending->raw = evhttp_request_new(&OnComplete, pending);
     evhttp_request_set_error_cb(pending->raw, &OnError);
     if (pending->stream.on_bytes) {
-      evhttp_request_set_header_cb(pending->raw, &OnHead);
-      evhttp_request_set_chunked_cb(pending->raw, &OnChunk);
+      evhttp_request_set_header_cb(pending->raw, &OnResponseHead);
+      evhttp_request_set_chunked_cb(pending->raw, &OnBodyChunk);
     }
     evkeyvalq* headers = evhttp_request_get_output_headers(pending->raw);
     const std::string host = call.host.empty()
@@ -283,32 +296,35 @@
     http_internal::AddHeaders(headers, call.headers);
     evbuffer_add(evhttp_request_get_output_buffer(pending->raw),
                  call.body.data(), call.body.size());
-    open.emplace(pending, std::move(owned));
+    in_flight.emplace(pending, std::move(owned));
     pending->deadline =
         loop.After(timeout, [this, pending] { OnDeadline(pending); });
-    evhttp_make_request(raw, pending->raw, MethodOf(call.method),
+    evhttp_make_request(raw, pending->raw, ParseMethod(call.method),
                         call.target.c_str());
   }
 
-  void RefuseLater(Done done) {
-    const uint64_t id = next_refusal++;
-    refusals[id] = loop.After(Duration(0), [this, id, done = std::move(done)] {
-      refusals.erase(id);
-      HttpOutcome outcome;
-      outcome.delivery = HttpDelivery::kNotSent;
-      done(outcome);
-    });
+  // Reports kNotSent from the event loop, so that `done` is never called from
+  // inside Fetch.
+  void DeferNotSent(Done done) {
+    const uint64_t id = next_not_sent_id++;
+    not_sent_timers[id] =
+        loop.After(Duration(0), [this, id, done = std::move(done)] {
+          not_sent_timers.erase(id);
+          HttpOutcome outcome;
+          outcome.delivery = HttpDelivery::kNotSent;
+          done(outcome);
+        });
   }
 
   EventLoop& loop;
   Address server;
   size_t max_connections;
-  std::map<Pending*, std::unique_ptr<Pending>> open;
+  std::map<Pending*, std::unique_ptr<Pending>> in_flight;
   std::vector<ConnectionPtr> idle;
-  std::vector<ConnectionPtr> dying;
-  Timer reaper;
-  std::map<uint64_t, Timer> refusals;
-  uint64_t next_refusal = 0;
+  std::vector<ConnectionPtr> connections_to_free;
+  Timer free_timer;
+  std::map<uint64_t, Timer> not_sent_timers;
+  uint64_t next_not_sent_id = 0;
 };
 
 HttpClient::HttpClient(EventLoop& loop, Address server, size_t max_connections)
@@ -326,11 +342,11 @@
 
 void HttpClient::FetchFrom(const HttpPeerIdentity& peer, const HttpCall& call,
                            Duration timeout, Done done) {
-  impl_->StartFrom(peer, call, timeout, std::move(done));
+  impl_->StartForPeer(peer, call, timeout, std::move(done));
 }
 
 size_t HttpClient::open_connections() const {
-  return impl_->open.size() + impl_->idle.size();
+  return impl_->in_flight.size() + impl_->idle.size();
 }
 
 }  // namespace beamhill
--- a/beamhill/http/http_client_test.cc
+++ b/beamhill/http/http_client_test.cc
@@ -1,4 +1,5 @@
-// What the client does with its pool when connections go silent or end.
+// Tests the connection pool of HttpClient when connections time out, are closed
+// by the server or lead to another process.
 #include "beamhill/http/http_client.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A server that answers nothing by itself.
+// Runs a server that holds each request until the test answers it.
 class HttpClientTest : public testing::Test {
  protected:
   HttpClientTest() {
@@ -29,8 +30,9 @@
     auto server = HttpServer::Listen(
         *loop_, "127.0.0.1", port, HttpServerLimits{},
         [this](HttpExchange exchange) {
-          held_.push_back(std::make_unique<HttpExchange>(std::move(exchange)));
-          if (held_.size() == expected_) loop_->Stop();
+          held_exchanges_.push_back(
+              std::make_unique<HttpExchange>(std::move(exchange)));
+          if (held_exchanges_.size() == expected_requests_) loop_->Stop();
         });
     server_ = std::move(ValueOf(server));
   }
@@ -39,59 +41,62 @@
     client_->Fetch({"GET", "/", {}, ""}, timeout,
                    [this](const HttpOutcome& outcome) {
                      outcomes_.push_back(outcome);
-                     if (outcomes_.size() == answered_) loop_->Stop();
+                     if (outcomes_.size() == expected_outcomes_) loop_->Stop();
                    });
   }
 
-  // For the process that answers questions with this name.
+  // Sends a call identity for the process that answers /who with the name
+  // `peer`.
   void FetchFrom(const std::string& peer) {
-    HttpPeerIdentity meant{peer,
-                           {"GET", "/who", {}, ""},
-                           [](const HttpResponse& r) { return r.body; }};
-    client_->FetchFrom(meant, {"GET", "/", {}, ""}, seconds(5),
+    HttpPeerIdentity identity{peer,
+                              {"GET", "/who", {}, ""},
+                              [](const HttpResponse& r) { return r.body; }};
+    client_->FetchFrom(identity, {"GET", "/", {}, ""}, seconds(5),
                        [this](const HttpOutcome& outcome) {
                          outcomes_.push_back(outcome);
                          loop_->Stop();
                        });
   }
 
-  // Answers the call that is held, and runs until its outcome is known.
+  // Waits for the next request, expects it at `path` and answers it.
   void AnswerNext(const std::string& path, const std::string& body) {
-    while (held_.empty()) {
-      expected_ = 1;
+    while (held_exchanges_.empty()) {
+      expected_requests_ = 1;
       loop_->Run();
     }
-    EXPECT_EQ(held_.back()->request().path, path);
-    held_.back()->Reply({200, {}, body});
-    held_.clear();
+    EXPECT_EQ(held_exchanges_.back()->request().path, path);
+    held_exchanges_.back()->Reply({200, {}, body});
+    held_exchanges_.clear();
   }
 
   std::unique_ptr<EventLoop> loop_ = std::move(ValueOf(EventLoop::Create()));
   std::unique_ptr<HttpServer> server_;
-  std::vector<std::unique_ptr<HttpExchange>> held_;
+  std::vector<std::unique_ptr<HttpExchange>> held_exchanges_;
   std::unique_ptr<HttpClient> client_;
   std::vector<HttpOutcome> outcomes_;
-  size_t expected_ = 0;
-  size_t answered_ = 0;
+  size_t expected_requests_ = 0;
+  size_t expected_outcomes_ = 0;
 };
 
-// Connections that went silent together each cost a later call its timeout.
-TEST_F(HttpClientTest, AfterATimeoutNoIdleConnectionIsTrusted) {
-  expected_ = 3;
+// When a network path fails, all pooled connections stop responding. If the
+// client kept the idle ones after a timeout, each would cost a later call its
+// own timeout.
+TEST_F(HttpClientTest, TimeoutClosesIdleConnections) {
+  expected_requests_ = 3;
   for (int i = 0; i < 3; ++i) Fetch(seconds(5));
   loop_->Run();
-  answered_ = 3;
-  for (auto& exchange : held_) exchange->Reply({200, {}, ""});
+  expected_outcomes_ = 3;
+  for (auto& exchange : held_exchanges_) exchange->Reply({200, {}, ""});
   loop_->Run();
   EXPECT_EQ(client_->open_connections(), 3U);
-  answered_ = 4;
-  Fetch(milliseconds(30));  // Nobody answers it.
+  expected_outcomes_ = 4;
+  Fetch(milliseconds(30));  // The server holds it past its timeout.
   loop_->Run();
   EXPECT_TRUE(outcomes_.back().timed_out);
   EXPECT_EQ(client_->open_connections(), 0U);
 }
 
-TEST_F(HttpClientTest, PeerIsAskedOnceOnEachConnection) {
+TEST_F(HttpClientTest, IdentityRequestIsSentOncePerConnection) {
   FetchFrom("a");
   AnswerNext("/who", "a");
   AnswerNext("/", "");
@@ -113,8 +118,9 @@
   EXPECT_EQ(outcomes_[0].response.body, "b");
 }
 
-// evhttp opens a connection of its own again that its server has closed.
-TEST_F(HttpClientTest, ConnectionThatItsServerClosedIsNotUsedAgain) {
+// evhttp reconnects by itself when the server has closed a connection. The new
+// connection may reach another process, which must be identified again.
+TEST_F(HttpClientTest, ConnectionClosedByServerIsNotReused) {
   FetchFrom("a");
   AnswerNext("/who", "a");
   AnswerNext("/", "");
--- a/beamhill/http/http_server.cc
+++ b/beamhill/http/http_server.cc
@@ -76,9 +76,10 @@
 
 }  // namespace
 
-// evhttp keeps a request that its handler has not completed even after the
-// caller's connection is gone, and frees it in the completing call. So one
-// completing call is made on every path, and none after it.
+// Owns an evhttp request. evhttp keeps a request until its handler completes
+// it, even after the client has disconnected, and frees it in the completing
+// call. Every path therefore makes exactly one completing call; `raw` is null
+// after it.
 struct HttpExchange::State {
   evhttp_request* raw = nullptr;
   HttpRequest request;
@@ -118,7 +119,7 @@
 
 void HttpExchange::Reply(const HttpResponse& response) {
   CheckInvariant(state_->raw != nullptr && !state_->started,
-                 "one reply for each request");
+                 "at most one reply per request");
   http_internal::AddHeaders(evhttp_request_get_output_headers(state_->raw),
                             response.headers);
   if (response.close) {
@@ -130,7 +131,7 @@
 
 void HttpExchange::StartReply(int status, const HttpHeaders& headers) {
   CheckInvariant(state_->raw != nullptr && !state_->started,
-                 "one reply for each request");
+                 "at most one reply per request");
   http_internal::AddHeaders(evhttp_request_get_output_headers(state_->raw),
                             headers);
   evhttp_send_reply_start(state_->raw, status, nullptr);
@@ -153,7 +154,9 @@
 void HttpExchange::AbortReply() {
   evhttp_connection* connection = evhttp_request_get_connection(state_->raw);
   if (connection != nullptr) {
-    // Shutting the socket first makes the end-of-body mark undeliverable.
+    // EndReply frees the request but also writes the last-chunk marker.
+    // Shutting down the socket first keeps that marker from reaching the
+    // client.
     bufferevent* bev = evhttp_connection_get_bufferevent(connection);
     shutdown(bufferevent_getfd(bev), SHUT_RDWR);
   }
@@ -180,7 +183,8 @@
     evhttp_free(http);
     return Error{ErrorCode::kUnavailable,
                  "cannot listen on " + ip + ":" + std::to_string(port),
-                 "check that the address is this VM's and the port is free"};
+                 "check that the address belongs to this VM and that no other "
+                 "process uses the port"};
   }
   evhttp_set_allowed_methods(http, kAllowedMethods);
   evhttp_set_max_headers_size(http,
--- a/beamhill/http/http_server.h
+++ b/beamhill/http/http_server.h
@@ -24,8 +24,9 @@
 
 namespace beamhill {
 
-// The right and the duty to answer one request. Dropping it unanswered sends
-// a 500, so that no caller is left waiting.
+// One received request and the handle for replying to it. Destroying the
+// exchange before a reply sends status 500, so that the client does not wait
+// for a response that never comes.
 class HttpExchange {
  public:
   struct State;
@@ -37,18 +38,19 @@
 
   const HttpRequest& request() const;
 
-  // Answers in one piece. No other reply call may follow.
+  // Sends a complete response. No other reply call may follow.
   void Reply(const HttpResponse& response);
 
-  // Answers in pieces: the head, any number of chunks, the end.
+  // Send a response in pieces: status and headers, any number of body chunks,
+  // then the end of the body.
   void StartReply(int status, const HttpHeaders& headers);
   void SendChunk(std::string_view bytes);
   void EndReply();
-  // Closes the caller's connection without completing a started reply, so
-  // that a cut answer can't pass for a whole one.
+  // Closes the client's connection without completing a started reply, so that
+  // the client can't take a truncated response for a complete one.
   void AbortReply();
 
-  // Bytes accepted by SendChunk and not yet taken by the caller.
+  // Bytes accepted by SendChunk and not yet written to the socket.
   size_t BufferedBytes() const;
 
  private:
@@ -65,7 +67,9 @@
  public:
   using Handler = std::function<void(HttpExchange)>;
 
-  // Port 0 takes any free port; port() tells which.
+  // Starts a server that calls `handler` for each request. Port 0 binds any
+  // free port; port() returns it. Fails with kUnavailable when the address
+  // can't be bound.
   static Result<std::unique_ptr<HttpServer>> Listen(
       EventLoop& loop, const std::string& ip, uint16_t port,
       const HttpServerLimits& limits, Handler handler);
@@ -75,7 +79,7 @@
 
   uint16_t port() const { return port_; }
 
-  // Refuses new connections from now on; open ones are served.
+  // Stops accepting connections; requests on open connections are still served.
   void StopAccepting();
 
  private:
@@ -83,7 +87,7 @@
              std::unique_ptr<Handler> handler);
 
   evhttp* http_;
-  evhttp_bound_socket* socket_;  // Null once it stopped accepting.
+  evhttp_bound_socket* socket_;  // Null after StopAccepting().
   uint16_t port_;
   std::unique_ptr<Handler> handler_;
 };
--- a/beamhill/http/http_server_test.cc
+++ b/beamhill/http/http_server_test.cc
@@ -15,14 +15,14 @@
 
 class HttpServerTest : public testing::Test {
  protected:
-  HttpServerTest() : loop_(std::move(ValueOf(made_))) {
+  HttpServerTest() : loop_(std::move(ValueOf(created_loop_))) {
     auto server = HttpServer::Listen(
         *loop_, "127.0.0.1", 0, HttpServerLimits{},
         [this](HttpExchange exchange) {
-          held_ = std::make_unique<HttpExchange>(std::move(exchange));
+          held_exchange_ = std::make_unique<HttpExchange>(std::move(exchange));
           loop_->Stop();
         });
-    CheckInvariant(IsOk(server), "listens");
+    CheckInvariant(IsOk(server), "server must listen");
     server_ = std::move(ValueOf(server));
     client_ = std::make_unique<HttpClient>(
         *loop_, Address{"127.0.0.1", server_->port()}, 2);
@@ -37,20 +37,22 @@
     loop_->Run();
   }
 
-  Result<std::unique_ptr<EventLoop>> made_ = EventLoop::Create();
+  Result<std::unique_ptr<EventLoop>> created_loop_ = EventLoop::Create();
   std::unique_ptr<EventLoop> loop_;
   std::unique_ptr<HttpServer> server_;
-  std::unique_ptr<HttpExchange> held_;  // Before its server goes.
+  std::unique_ptr<HttpExchange>
+      held_exchange_;  // Must be destroyed before server_.
   std::unique_ptr<HttpClient> client_;
   std::optional<HttpOutcome> outcome_;
 };
 
-// Found by the soak (a planned stop cut requests off).
+// A planned stop must not abort requests in progress: they are still answered
+// after the server stops accepting connections.
 TEST_F(HttpServerTest, OpenRequestIsAnsweredAfterAcceptingStops) {
   Fetch();
-  ASSERT_TRUE(held_);
+  ASSERT_TRUE(held_exchange_);
   server_->StopAccepting();
-  held_->Reply({200, {}, "whole", /*close=*/true});
+  held_exchange_->Reply({200, {}, "whole", /*close=*/true});
   loop_->Run();
   ASSERT_TRUE(outcome_);
   EXPECT_EQ(outcome_->delivery, HttpDelivery::kAnswered);
--- a/beamhill/http/http_types.cc
+++ b/beamhill/http/http_types.cc
@@ -12,8 +12,9 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-// RFC 9110 section 7.6.1, and the two lengths that each hop sets anew.
-constexpr std::array<std::string_view, 10> kHopByHop = {
+// Hop-by-hop headers (RFC 9110 section 7.6.1), and headers that evhttp or
+// the sender sets anew for each hop, such as Host and Content-Length.
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {
     "connection",        "keep-alive", "proxy-connection", "te",
     "transfer-encoding", "trailer",    "upgrade",          "host",
     "content-length",    "expect"};
@@ -31,7 +32,7 @@
 
 bool IsHopByHopHeader(std::string_view name) {
   return std::any_of(
-      kHopByHop.begin(), kHopByHop.end(),
+      kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
       [&](std::string_view hop) { return EqualsIgnoreCase(hop, name); });
 }
 
--- a/beamhill/http/internal/evhttp_util.h
+++ b/beamhill/http/internal/evhttp_util.h
@@ -1,4 +1,7 @@
-// What server and client both do with evhttp's C structures.
+// Conversions between evhttp's C structures and HTTP values, shared by server
+// and client.
+//
+//   request.headers = ReadHeaders(evhttp_request_get_input_headers(raw));
 #ifndef BEAMHILL_HTTP_INTERNAL_EVHTTP_UTIL_H_
 #define BEAMHILL_HTTP_INTERNAL_EVHTTP_UTIL_H_
 
@@ -12,10 +15,10 @@
 namespace beamhill {
 namespace http_internal {
 
-// Takes all bytes out of the buffer.
+// Removes and returns all bytes of the buffer.
 std::string Drain(evbuffer* buffer);
 HttpHeaders ReadHeaders(const evkeyvalq* headers);
-// Adds those headers that are not meant for one hop only.
+// Appends the headers to `to`, without hop-by-hop headers.
 void AddHeaders(evkeyvalq* to, const HttpHeaders& headers);
 
 }  // namespace http_internal
