--- a/beamhill/link/link.cc
+++ b/beamhill/link/link.cc
@@ -20,9 +20,11 @@
 namespace beamhill {
 namespace {
 
-// The library fixes the names below. NOLINTBEGIN(readability-identifier-naming)
-// One thread, no library logs, and a small read buffer: it is part of each
-// connection, and an entry holds thousands.
+// websocketpp prescribes the names below.
+// NOLINTBEGIN(readability-identifier-naming)
+// Configures websocketpp for one thread and without its own logging. The read
+// buffer is small because every connection has one and an entry holds thousands
+// of connections. Sizes are in bytes.
 template <typename Base>
 struct LinkConfig : Base {
   using type = LinkConfig;
@@ -54,24 +56,25 @@
 using WsClient =
     websocketpp::client<LinkConfig<websocketpp::config::core_client>>;
 
-struct BuffereventFree {
+struct BuffereventDeleter {
   void operator()(bufferevent* bev) const { bufferevent_free(bev); }
 };
-using OwnedBufferevent = std::unique_ptr<bufferevent, BuffereventFree>;
+using BuffereventPtr = std::unique_ptr<bufferevent, BuffereventDeleter>;
 
 void DisableNagle(bufferevent* bev) {
   const int on = 1;
   setsockopt(bufferevent_getfd(bev), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-bool ToSockaddr(const Address& address, sockaddr_in* out) {
+bool ParseSockaddr(const Address& address, sockaddr_in* out) {
   std::memset(out, 0, sizeof(*out));
   out->sin_family = AF_INET;
   out->sin_port = htons(address.port);
   return inet_pton(AF_INET, address.ip.c_str(), &out->sin_addr) == 1;
 }
 
-// One endpoint each for the process: they hold configuration only.
+// The endpoints hold only configuration, so that one of each kind serves the
+// whole process.
 WsServer& ServerEndpoint() {
   static WsServer endpoint;
   return endpoint;
@@ -88,15 +91,16 @@
   EventLoop* loop = nullptr;
   Link* self = nullptr;
   LinkHooks hooks;
-  OwnedBufferevent bev;
-  // Exactly one of the two is set.
+  BuffereventPtr bev;
+  // Exactly one is set: `server` for an accepted link, `client` for a dialed
+  // one.
   WsServer::connection_ptr server;
   WsClient::connection_ptr client;
   bool open = false;
   bool closed = false;
-  uint64_t sent = 0;
-  uint64_t received = 0;
-  Timer closer;
+  uint64_t sent_bytes = 0;
+  uint64_t received_bytes = 0;
+  Timer close_timer;
 
   ~Impl() {
     closed = true;
@@ -104,6 +108,8 @@
     if (client) Detach(*client);
   }
 
+  // Removes all handlers that refer to this object and ends the WebSocket
+  // connection without writing to the socket.
   template <typename Connection>
   void Detach(Connection& connection) {
     connection.set_message_handler(nullptr);
@@ -121,7 +127,7 @@
     using MessagePtr = typename Connection::message_ptr;
     connection.set_write_handler(
         [this](websocketpp::connection_hdl, char const* bytes, size_t size) {
-          sent += size;
+          sent_bytes += size;
           bufferevent_write(bev.get(), bytes, size);
           return websocketpp::lib::error_code();
         });
@@ -138,16 +144,18 @@
           if (!closed && hooks.on_pong) hooks.on_pong(*self);
         });
     connection.set_close_handler(
-        [this](websocketpp::connection_hdl) { CloseSoon(); });
+        [this](websocketpp::connection_hdl) { ScheduleClose(); });
     connection.set_fail_handler(
-        [this](websocketpp::connection_hdl) { CloseSoon(); });
+        [this](websocketpp::connection_hdl) { ScheduleClose(); });
   }
 
-  void CloseSoon() {
+  // Stops reading and sending, then closes the socket and calls on_close from
+  // the event loop, since libevent and websocketpp may be using them here.
+  void ScheduleClose() {
     open = false;
     if (closed) return;
     closed = true;
-    closer = loop->After(Duration(0), [this] {
+    close_timer = loop->After(Duration(0), [this] {
       bev.reset();
       if (hooks.on_close) hooks.on_close(*self);
     });
@@ -161,7 +169,7 @@
       const std::string bytes(
           reinterpret_cast<char*>(evbuffer_pullup(input, size)), size);
       evbuffer_drain(input, size);
-      received += size;
+      received_bytes += size;
       if (server) server->read_all(bytes.data(), bytes.size());
       if (client) client->read_all(bytes.data(), bytes.size());
     }
@@ -178,10 +186,10 @@
       ClientEndpoint().connect(impl->client);
       return;
     }
-    impl->CloseSoon();
+    impl->ScheduleClose();
   }
 
-  void Listen() {
+  void EnableEvents() {
     bufferevent_setcb(bev.get(), &OnRead, nullptr, &OnEvent, this);
     bufferevent_enable(bev.get(), EV_READ | EV_WRITE);
   }
@@ -200,13 +208,13 @@
       "ws://" + peer.ip + ":" + std::to_string(peer.port) + "/", ec);
   raw->Attach(*raw->client);
   auto link = std::make_unique<Link>(std::move(impl));
-  raw->Listen();
+  raw->EnableEvents();
   sockaddr_in address{};
-  if (!ToSockaddr(peer, &address) ||
+  if (!ParseSockaddr(peer, &address) ||
       bufferevent_socket_connect(raw->bev.get(),
                                  reinterpret_cast<sockaddr*>(&address),
                                  sizeof(address)) != 0) {
-    raw->CloseSoon();
+    raw->ScheduleClose();
   }
   return link;
 }
@@ -225,13 +233,13 @@
 
 void Link::Ping() {
   if (!impl_->open) return;
-  // A link that can't take it is about to close.
+  // A ping fails only on a link that is about to close.
   websocketpp::lib::error_code ignored;
   if (impl_->server) impl_->server->ping("", ignored);
   if (impl_->client) impl_->client->ping("", ignored);
 }
 
-void Link::Close() { impl_->CloseSoon(); }
+void Link::Close() { impl_->ScheduleClose(); }
 
 bool Link::is_open() const { return impl_->open; }
 
@@ -240,8 +248,8 @@
   return evbuffer_get_length(bufferevent_get_output(impl_->bev.get()));
 }
 
-uint64_t Link::bytes_sent() const { return impl_->sent; }
-uint64_t Link::bytes_received() const { return impl_->received; }
+uint64_t Link::bytes_sent() const { return impl_->sent_bytes; }
+uint64_t Link::bytes_received() const { return impl_->received_bytes; }
 
 struct LinkListener::Impl {
   EventLoop* loop = nullptr;
@@ -249,8 +257,8 @@
   evconnlistener* listener = nullptr;
   uint16_t port = 0;
   std::map<Link*, std::unique_ptr<Link>> links;
-  std::vector<std::unique_ptr<Link>> dying;
-  Timer reaper;
+  std::vector<std::unique_ptr<Link>> links_to_destroy;
+  Timer destroy_timer;
 
   ~Impl() {
     if (listener != nullptr) evconnlistener_free(listener);
@@ -267,21 +275,23 @@
     raw->Attach(*raw->server);
     auto link = std::make_unique<Link>(std::move(impl));
     raw->hooks = on_accept(*link);
-    auto user_close = raw->hooks.on_close;
-    raw->hooks.on_close = [this, user_close](Link& closed) {
-      if (user_close) user_close(closed);
-      Bury(closed);
+    auto wrapped_on_close = raw->hooks.on_close;
+    raw->hooks.on_close = [this, wrapped_on_close](Link& closed) {
+      if (wrapped_on_close) wrapped_on_close(closed);
+      DestroyLater(closed);
     };
     links.emplace(link.get(), std::move(link));
-    raw->Listen();
+    raw->EnableEvents();
     raw->server->start();
   }
 
-  void Bury(Link& link) {
+  // Destroys the link from the event loop, since this is called from its hook.
+  void DestroyLater(Link& link) {
     const auto it = links.find(&link);
-    dying.push_back(std::move(it->second));
+    links_to_destroy.push_back(std::move(it->second));
     links.erase(it);
-    reaper = loop->After(Duration(0), [this] { dying.clear(); });
+    destroy_timer =
+        loop->After(Duration(0), [this] { links_to_destroy.clear(); });
   }
 
   static void OnAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int,
@@ -296,9 +306,10 @@
   impl->loop = &loop;
   impl->on_accept = std::move(on_accept);
   sockaddr_in bind_to{};
-  if (!ToSockaddr(address, &bind_to)) {
-    return Error{ErrorCode::kInvalidArgument, "not an IP number: " + address.ip,
-                 "give a dotted IPv4 number"};
+  if (!ParseSockaddr(address, &bind_to)) {
+    return Error{ErrorCode::kInvalidArgument,
+                 "not an IPv4 address: " + address.ip,
+                 "use dotted decimal notation, such as 127.0.0.1"};
   }
   impl->listener = evconnlistener_new_bind(
       loop.base(), &Impl::OnAccept, impl.get(),
@@ -308,7 +319,8 @@
     return Error{
         ErrorCode::kUnavailable,
         "cannot listen on " + address.ip + ":" + std::to_string(address.port),
-        "check that the address is this VM's and the port is free"};
+        "check that the address belongs to this VM and that no other process "
+        "uses the port"};
   }
   socklen_t size = sizeof(bind_to);
   getsockname(evconnlistener_get_fd(impl->listener),
--- a/beamhill/link/link.h
+++ b/beamhill/link/link.h
@@ -1,10 +1,10 @@
-// Long-lived message connections between the system's own processes:
-// WebSocket frames by websocketpp, carried by libevent's buffered sockets.
+// Long-lived message connections between Beamhill processes: WebSocket frames
+// (websocketpp) over libevent buffered sockets.
 //
 //   auto link = Link::Dial(loop, {"127.0.0.1", 7000}, {
-//       [](Link& l) { l.Send(frame); },              // opened
-//       [](Link&, std::string_view frame) { ... },   // message
-//       [](Link&) { ... }});                         // closed, or never opened
+//       [](Link& l) { l.Send(frame); },              // on_open
+//       [](Link&, std::string_view frame) { ... },   // on_message
+//       [](Link&) { ... }});                         // on_close
 #ifndef BEAMHILL_LINK_LINK_H_
 #define BEAMHILL_LINK_LINK_H_
 
@@ -22,13 +22,15 @@
 
 class Link;
 
+// Callbacks of a link, all called from the event loop.
 struct LinkHooks {
+  // Called after the WebSocket handshake. May be empty.
   std::function<void(Link&)> on_open;
   std::function<void(Link&, std::string_view frame)> on_message;
-  // Called once, whether or not the link ever opened. The link must not be
-  // destroyed inside a hook; see Link::Close.
+  // Called exactly once, also when the link never opened. A hook must not
+  // destroy the link; see Link::Close.
   std::function<void(Link&)> on_close;
-  // The peer has answered a ping. May be left out.
+  // Called when the peer has answered a ping. May be empty.
   std::function<void(Link&)> on_pong;
 };
 
@@ -36,7 +38,8 @@
  public:
   struct Impl;
 
-  // Starts to connect. A refused or lost connection ends in on_close.
+  // Starts connecting to `peer` and returns at once. A refused or lost
+  // connection is reported by on_close.
   static std::unique_ptr<Link> Dial(EventLoop& loop, const Address& peer,
                                     LinkHooks hooks);
   explicit Link(std::unique_ptr<Impl> impl);
@@ -44,16 +47,16 @@
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  // Queues one binary frame. Dropped when the link is not open.
+  // Queues one binary frame, or drops it when the link is not open.
   void Send(std::string_view frame);
-  // Asks the peer's process for a sign of life, which it gives whatever else it
-  // has to say. Dropped when the link is not open.
+  // Sends a WebSocket ping, which the peer's process answers even when it has
+  // no messages to send. Does nothing when the link is not open.
   void Ping();
-  // Closes the socket and calls on_close from the loop.
+  // Closes the socket and calls on_close from the event loop.
   void Close();
 
   bool is_open() const;
-  // Bytes queued and not yet taken by the network.
+  // Bytes queued and not yet written to the socket.
   size_t BufferedBytes() const;
   uint64_t bytes_sent() const;
   uint64_t bytes_received() const;
@@ -66,11 +69,13 @@
 class LinkListener {
  public:
   struct Impl;
-  // Receives each accepted link before its handshake; returns its hooks.
+  // Called for each accepted link before its handshake; returns its hooks.
   using AcceptHook = std::function<LinkHooks(Link&)>;
 
-  // Port 0 takes any free port. The listener owns the links it accepts and
-  // destroys each after its on_close.
+  // Starts to accept links. Port 0 binds any free port. The listener owns the
+  // links that it accepts and destroys each after its on_close. Fails with
+  // kInvalidArgument when the address is not an IPv4 address, and with
+  // kUnavailable when it can't be bound.
   static Result<std::unique_ptr<LinkListener>> Listen(EventLoop& loop,
                                                       const Address& address,
                                                       AcceptHook on_accept);
--- a/beamhill/platform/http_table.cc
+++ b/beamhill/platform/http_table.cc
@@ -8,25 +8,25 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kConnections = 16;
+constexpr size_t kMaxConnections = 16;
 
 HttpCall Post(const std::string& target, const Json& body) {
   return {"POST", target, {{"Content-Type", "application/json"}}, body.dump()};
 }
 
-Error Unavailable(const HttpOutcome& outcome) {
-  const std::string what =
+Error UnavailableError(const HttpOutcome& outcome) {
+  const std::string failure =
       outcome.delivery == HttpDelivery::kAnswered
           ? "answered " + std::to_string(outcome.response.status)
           : (outcome.timed_out ? "timed out" : "did not answer");
-  return {ErrorCode::kUnavailable, "the platform's table " + what,
-          "wait; calls are repeated"};
+  return {ErrorCode::kUnavailable, "the platform's table " + failure,
+          "wait: the call is retried automatically"};
 }
 
 Result<std::vector<Row>> ParseRows(const HttpOutcome& outcome) {
   if (outcome.delivery != HttpDelivery::kAnswered ||
       outcome.response.status != 200) {
-    return Unavailable(outcome);
+    return UnavailableError(outcome);
   }
   try {
     std::vector<Row> rows;
@@ -52,7 +52,7 @@
       break;
     case 409:
       return {CommitResult::kConflict, {}};
-    case 429:  // Over the limit: refused before it was looked at.
+    case 429:  // Rate limit: rejected before the transaction was processed.
     case 503:
       return {CommitResult::kNotApplied, {}};
     default:
@@ -85,7 +85,7 @@
 
 struct PlatformClient::Impl {
   Impl(EventLoop& loop, const Address& platform, Duration t)
-      : http(loop, platform, kConnections), timeout(t) {}
+      : http(loop, platform, kMaxConnections), timeout(t) {}
 
   HttpClient http;
   Duration timeout;
@@ -127,7 +127,7 @@
       [done = std::move(done)](const HttpOutcome& outcome) {
         if (outcome.delivery != HttpDelivery::kAnswered ||
             outcome.response.status != 200) {
-          return done(Unavailable(outcome));
+          return done(UnavailableError(outcome));
         }
         try {
           std::vector<ListedVm> vms;
--- a/beamhill/platform/http_table.h
+++ b/beamhill/platform/http_table.h
@@ -1,6 +1,11 @@
-// Adaptor: the platform's table and list of VMs over its HTTP interface.
+// Client for the platform's HTTP interface: its transactional table and its
+// list of VMs. Only this folder knows the paths and JSON formats of that
+// interface.
 //
-// All knowledge of the platform's dialect is in this folder.
+//   PlatformClient platform(loop, {"127.0.0.1", 8080},
+//   std::chrono::seconds(2)); platform.table().read({"owner/row"}, [](const
+//   auto& rows) { ... }); platform.ListVms([](const
+//   Result<std::vector<ListedVm>>& vms) { ... });
 #ifndef BEAMHILL_PLATFORM_HTTP_TABLE_H_
 #define BEAMHILL_PLATFORM_HTTP_TABLE_H_
 
@@ -16,20 +21,22 @@
 
 namespace beamhill {
 
-// One VM of the platform's list, which lags.
+// One VM of the platform's list. The list may be out of date.
 struct ListedVm {
   std::string vm;
-  bool leaving = false;
+  bool leaving = false;  // The platform is about to remove the VM.
 };
 
 class PlatformClient {
  public:
-  // `timeout` bounds each call.
+  // `timeout` applies to each call.
   PlatformClient(EventLoop& loop, const Address& platform, Duration timeout);
   ~PlatformClient();
 
-  // Valid as long as the client.
+  // The returned table must not outlive this client.
   Table table();
+  // Fails with kUnavailable when the platform does not answer, and with
+  // kInternal when its answer is malformed.
   void ListVms(std::function<void(Result<std::vector<ListedVm>>)> done);
 
  private:
--- a/beamhill/platform/http_worker.cc
+++ b/beamhill/platform/http_worker.cc
@@ -8,8 +8,8 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t kConnections = 4;
-constexpr Duration kTimeout = std::chrono::seconds(3);
+constexpr size_t kMaxConnections = 4;
+constexpr Duration kCallTimeout = std::chrono::seconds(3);
 
 Json ToJson(const TaskId& task, Attempt attempt) {
   return {{"job", task.job}, {"index", task.index}, {"attempt", attempt.value}};
@@ -38,59 +38,62 @@
 struct HttpWorker::Impl {
   Impl(EventLoop& loop, const Address& platform, std::string vm,
        uint64_t incarnation)
-      : http(loop, platform, kConnections),
-        base("/workers/" + std::move(vm)),
-        agent(incarnation) {}
+      : http(loop, platform, kMaxConnections),
+        base_path("/workers/" + std::move(vm)),
+        attachment_id(incarnation) {}
 
-  void Post(const std::string& verb, Json body, HttpClient::Done done) {
-    body["agent"] = agent;
+  void Post(const std::string& endpoint, Json body, HttpClient::Done done) {
+    body["agent"] = attachment_id;
     http.Fetch({"POST",
-                base + verb,
+                base_path + endpoint,
                 {{"Content-Type", "application/json"}},
                 body.dump()},
-               kTimeout, std::move(done));
+               kCallTimeout, std::move(done));
   }
 
-  // Takes over the worker's clock from an answer. The worker read it before
-  // the answer came, so it is at most too early, which shortens leases.
-  void ReadClock(const Json& answer) {
+  // Stores the worker's clock from an answer. The worker read it before the
+  // answer arrived, so the stored clock can only lag, which shortens leases.
+  void StoreWorkerClock(const Json& answer) {
     worker_clock = Duration(answer.at("now_us").get<int64_t>());
-    worker_clock_read_at = BootClock::now();
+    worker_clock_received_at = BootClock::now();
   }
 
-  int64_t OnWorkerClock(TimePoint lease_end) const {
-    return (worker_clock + (lease_end - worker_clock_read_at)).count();
+  // Converts a lease end to microseconds on the worker's clock.
+  int64_t ToWorkerClock(TimePoint lease_end) const {
+    return (worker_clock + (lease_end - worker_clock_received_at)).count();
   }
 
-  void Start(const WorkerCommand& command, const StartAnswered& on_start) {
+  void Start(const WorkerCommand& command, const StartCallback& on_start) {
     Json body = ToJson(command.task, command.attempt);
     body["each"] = ToJson(command.job.each);
     body["class"] = command.job.work_class;
     body["latency_critical"] = command.job.kind == WorkKind::kLatencyCritical;
     body["declared_run_us"] = command.job.declared_run.count();
     body["checkpoint"] = command.checkpoint;
-    body["lease_end_us"] = OnWorkerClock(command.lease_end);
+    body["lease_end_us"] = ToWorkerClock(command.lease_end);
     Post("/start", std::move(body),
          [on_start, task = command.task,
           attempt = command.attempt](const HttpOutcome& outcome) {
            std::string reason;
-           const WorkerStartAnswer answer = ParseStart(outcome, &reason);
+           const WorkerStartAnswer answer = ParseStartAnswer(outcome, &reason);
            on_start(task, attempt, answer, reason);
          });
   }
 
-  // The worker has started again, or obeys another agent. What is still on its
-  // way was meant for before, and must not pass for a call of the next
-  // attachment: its lease ends are by another clock.
+  // Called when the worker has restarted or obeys another agent. Changes the
+  // attachment ID that calls carry, so that the worker rejects calls of the old
+  // attachment that arrive during the next one: their lease ends are times on
+  // the clock of the worker's previous start.
   void Detach() {
-    if (attached) ++agent;
+    if (attached) ++attachment_id;
     attached = false;
   }
 
-  static WorkerStartAnswer ParseStart(const HttpOutcome& outcome,
-                                      std::string* reason) {
+  static WorkerStartAnswer ParseStartAnswer(const HttpOutcome& outcome,
+                                            std::string* reason) {
     if (outcome.delivery != HttpDelivery::kAnswered) {
-      // Also when it was not sent: the next list leads to another try.
+      // A start that was not sent counts as unknown too: the next list shows
+      // that the task is not running, and the start is retried.
       return WorkerStartAnswer::kUnknown;
     }
     if (outcome.response.status == 200) return WorkerStartAnswer::kStarted;
@@ -101,11 +104,13 @@
   }
 
   HttpClient http;
-  std::string base;
-  uint64_t agent;
+  std::string base_path;
+  // Identifies the current attachment to the worker. Starts as the incarnation
+  // of the agent process.
+  uint64_t attachment_id;
   bool attached = false;
   Duration worker_clock{};
-  TimePoint worker_clock_read_at{};
+  TimePoint worker_clock_received_at{};
 };
 
 HttpWorker::HttpWorker(EventLoop& loop, const Address& platform, std::string vm,
@@ -115,8 +120,8 @@
 HttpWorker::~HttpWorker() = default;
 
 void HttpWorker::Run(const WorkerCommand& command,
-                     const StartAnswered& on_start) {
-  const auto ignore = [](const HttpOutcome&) {};
+                     const StartCallback& on_start) {
+  const auto ignore_answer = [](const HttpOutcome&) {};
   Json body = ToJson(command.task, command.attempt);
   switch (command.kind) {
     case WorkerCommandKind::kStart:
@@ -124,19 +129,19 @@
       return;
     case WorkerCommandKind::kRenew:
       impl_->Post("/renew",
-                  {{"lease_end_us", impl_->OnWorkerClock(command.lease_end)}},
-                  ignore);
+                  {{"lease_end_us", impl_->ToWorkerClock(command.lease_end)}},
+                  ignore_answer);
       return;
     case WorkerCommandKind::kCancel:
     case WorkerCommandKind::kEvict:
       body["checkpoint"] = command.kind == WorkerCommandKind::kEvict;
-      impl_->Post("/stop", std::move(body), ignore);
+      impl_->Post("/stop", std::move(body), ignore_answer);
       return;
     case WorkerCommandKind::kForget:
-      impl_->Post("/forget", std::move(body), ignore);
+      impl_->Post("/forget", std::move(body), ignore_answer);
       return;
     case WorkerCommandKind::kThrottle:
-      impl_->Post("/throttle", {{"percent", command.percent}}, ignore);
+      impl_->Post("/throttle", {{"percent", command.percent}}, ignore_answer);
       return;
   }
 }
@@ -145,16 +150,17 @@
     std::function<void(Result<std::vector<WorkerTask>>, TimePoint sent_at)>
         done) {
   const TimePoint sent_at = BootClock::now();
-  const std::string verb = impl_->attached ? "/list" : "/attach";
+  const std::string endpoint = impl_->attached ? "/list" : "/attach";
   impl_->Post(
-      verb, Json::object(),
+      endpoint, Json::object(),
       [this, sent_at, done = std::move(done)](const HttpOutcome& outcome) {
         if (outcome.delivery != HttpDelivery::kAnswered ||
             outcome.response.status != 200) {
           if (outcome.response.status == 409) impl_->Detach();
-          return done(Error{ErrorCode::kUnavailable,
-                            "the worker did not answer", "wait"},
-                      sent_at);
+          return done(
+              Error{ErrorCode::kUnavailable, "the worker did not answer",
+                    "wait: the call is retried automatically"},
+              sent_at);
         }
         try {
           const Json body = Json::parse(outcome.response.body);
@@ -167,7 +173,7 @@
                              task.at("checkpoint"),
                              task.at("reason")});
           }
-          impl_->ReadClock(body);
+          impl_->StoreWorkerClock(body);
           impl_->attached = true;
           done(std::move(tasks), sent_at);
         } catch (const Json::exception& e) {
--- a/beamhill/platform/http_worker.h
+++ b/beamhill/platform/http_worker.h
@@ -1,8 +1,13 @@
-// Adaptor: the worker of one VM over the platform's HTTP interface.
+// Client for the worker of one VM over the platform's HTTP interface.
 //
-// Leases are given to the worker in its own clock: each answer carries the
-// worker's time, and an end on the agent's clock is carried over from the
-// moment the latest answer came. A late call can then not lengthen a lease.
+// The worker gets the end of a lease as a time on its own clock, so that a
+// delayed call can't extend a lease. Each answer of the worker carries its
+// clock; the agent converts a lease end by its offset from the moment at which
+// it received the latest answer.
+//
+//   HttpWorker worker(loop, {"127.0.0.1", 8080}, "vm-1", incarnation);
+//   worker.List([](const auto& tasks, TimePoint sent_at) { ... });
+//   worker.Run(command, on_start);
 #ifndef BEAMHILL_PLATFORM_HTTP_WORKER_H_
 #define BEAMHILL_PLATFORM_HTTP_WORKER_H_
 
@@ -20,17 +25,21 @@
 
 class HttpWorker {
  public:
+  // `agent_incarnation` identifies this agent process to the worker.
   HttpWorker(EventLoop& loop, const Address& platform, std::string vm,
              uint64_t agent_incarnation);
   ~HttpWorker();
 
-  using StartAnswered = std::function<void(
+  using StartCallback = std::function<void(
       const TaskId&, Attempt, WorkerStartAnswer, const std::string& reason)>;
-  // Carries out one command. Only starts are answered.
-  void Run(const WorkerCommand& command, const StartAnswered& on_start);
-
-  // Attaches this agent if need be, and lists all tasks. `sent_at` is when
-  // the listing call was made.
+  // Sends one command to the worker. Calls `on_start` for kStart only; the
+  // effect of other commands shows in the next List.
+  void Run(const WorkerCommand& command, const StartCallback& on_start);
+
+  // Lists all tasks of the worker, attaching this agent first if it is not
+  // attached. `sent_at` is when the call was sent. Fails with kUnavailable when
+  // the worker does not answer or obeys another agent, and with kInternal when
+  // its answer is malformed.
   void List(
       std::function<void(Result<std::vector<WorkerTask>>, TimePoint sent_at)>
           done);
--- a/beamhill/platform/http_worker_test.cc
+++ b/beamhill/platform/http_worker_test.cc
@@ -1,4 +1,4 @@
-// What an agent's calls do at a worker that has started again.
+// Tests that calls sent before a restart of the worker have no effect after it.
 #include "beamhill/platform/http_worker.h"
 
 #include <gtest/gtest.h>
@@ -17,28 +17,28 @@
 using Json = nlohmann::json;
 using std::chrono::seconds;
 
-// A worker that takes calls of the agent that attached last, and holds renewals
-// back until it is told.
+// Runs a worker that accepts calls from the most recently attached agent only,
+// and can hold lease renewals to deliver them later.
 class HttpWorkerTest : public testing::Test {
  protected:
   void Handle(HttpExchange exchange) {
     const HttpRequest& request = exchange.request();
     const uint64_t agent = Json::parse(request.body).at("agent");
-    const std::string verb = request.path.substr(request.path.rfind('/'));
-    if (verb == "/renew" && holds_renewals_) {
-      held_.push_back(std::move(exchange));
+    const std::string endpoint = request.path.substr(request.path.rfind('/'));
+    if (endpoint == "/renew" && hold_renewals_) {
+      held_renewals_.push_back(std::move(exchange));
       return;
     }
-    if (verb == "/attach") attached_ = agent;
-    if (agent != attached_) {
+    if (endpoint == "/attach") attached_agent_ = agent;
+    if (agent != attached_agent_) {
       exchange.Reply({409, {}, "{}"});
       return;
     }
-    if (verb == "/renew") ++renewed_;
+    if (endpoint == "/renew") ++renewals_accepted_;
     exchange.Reply({200, {}, R"({"now_us": 1000000, "tasks": []})"});
   }
 
-  // Whether the worker answered with its list.
+  // Returns whether the worker answered with its list of tasks.
   bool List() {
     bool listed = false;
     worker_.List([&](const Result<std::vector<WorkerTask>>& tasks, TimePoint) {
@@ -54,29 +54,31 @@
       *loop_, "127.0.0.1", 0, HttpServerLimits{},
       [this](HttpExchange exchange) { Handle(std::move(exchange)); })));
   HttpWorker worker_{*loop_, {"127.0.0.1", server_->port()}, "vm-1", 7};
-  std::vector<HttpExchange> held_;
-  uint64_t attached_ = 0;
-  bool holds_renewals_ = false;
-  int renewed_ = 0;
+  std::vector<HttpExchange> held_renewals_;
+  uint64_t attached_agent_ = 0;
+  bool hold_renewals_ = false;
+  int renewals_accepted_ = 0;
 };
 
-// Its lease end was counted by the clock of the worker's start before.
-TEST_F(HttpWorkerTest, RenewalForTheStartBeforeIsRefusedByTheNext) {
+// A renewal that is delivered after the worker has restarted carries a lease
+// end on the clock of the worker's previous start, so the worker must reject
+// it.
+TEST_F(HttpWorkerTest, RenewalSentBeforeWorkerRestartIsRejectedAfterIt) {
   ASSERT_TRUE(List());
-  holds_renewals_ = true;
+  hold_renewals_ = true;
   WorkerCommand renew;
   renew.lease_end = BootClock::now() + seconds(30);
   worker_.Run(renew, nullptr);
-  attached_ = 0;  // The worker starts again.
+  attached_agent_ = 0;  // The worker restarts.
   EXPECT_FALSE(List());
   ASSERT_TRUE(List());
-  ASSERT_EQ(held_.size(), 1U);
-  holds_renewals_ = false;
-  Handle(std::move(held_[0]));
-  EXPECT_EQ(renewed_, 0);
+  ASSERT_EQ(held_renewals_.size(), 1U);
+  hold_renewals_ = false;
+  Handle(std::move(held_renewals_[0]));
+  EXPECT_EQ(renewals_accepted_, 0);
   worker_.Run(renew, nullptr);
-  for (int i = 0; renewed_ == 0 && i < 100; ++i) ASSERT_TRUE(List());
-  EXPECT_EQ(renewed_, 1);
+  for (int i = 0; renewals_accepted_ == 0 && i < 100; ++i) ASSERT_TRUE(List());
+  EXPECT_EQ(renewals_accepted_, 1);
 }
 
 }  // namespace
