--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -151,8 +151,7 @@
       runners_.Pick(pending.start.service, pending.tried_vms, BootClock::now());
   if (!vm) {
     return FinishNotRun(id,
-                        "every runner of the service is at its limit or "
-                        "shutting down");
+                        "every runner of the service is busy or shutting down");
   }
   SendToRunner(id, *vm);
 }
@@ -164,8 +163,8 @@
       runners_.Keepers(pending.start.service, key, BootClock::now());
   if (key_runners.empty()) {
     return FinishNotRun(id,
-                        "no runner of the service can store idempotency keys "
-                        "yet");
+                        "no runner of the service has recorded idempotency "
+                        "keys for long enough yet");
   }
   // A primary that is leaving still recognizes keys but runs nothing new, so
   // the roles are swapped. Entries that learn of it at different times may
