--- a/beamhill/http/http_client_test.cc
+++ b/beamhill/http/http_client_test.cc
@@ -45,8 +45,7 @@
                    });
   }
 
-  // Sends a call identity for the process that answers /who with the name
-  // `peer`.
+  // Sends a call meant for the process that answers /who with the name `peer`.
   void FetchFrom(const std::string& peer) {
     HttpPeerIdentity identity{peer,
                               {"GET", "/who", {}, ""},
--- a/beamhill/http/http_types.cc
+++ b/beamhill/http/http_types.cc
@@ -12,8 +12,8 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-// Hop-by-hop headers (RFC 9110 section 7.6.1), and headers that evhttp or
-// the sender sets anew for each hop, such as Host and Content-Length.
+// Hop-by-hop headers (RFC 9110 section 7.6.1), and headers that each hop sets
+// itself, such as Host and Content-Length.
 constexpr std::array<std::string_view, 10> kHopByHopHeaders = {
     "connection",        "keep-alive", "proxy-connection", "te",
     "transfer-encoding", "trailer",    "upgrade",          "host",
--- a/beamhill/platform/http_table.h
+++ b/beamhill/platform/http_table.h
@@ -2,10 +2,9 @@
 // list of VMs. Only this folder knows the paths and JSON formats of that
 // interface.
 //
-//   PlatformClient platform(loop, {"127.0.0.1", 8080},
-//   std::chrono::seconds(2)); platform.table().read({"owner/row"}, [](const
-//   auto& rows) { ... }); platform.ListVms([](const
-//   Result<std::vector<ListedVm>>& vms) { ... });
+//   PlatformClient platform(loop, {"127.0.0.1", 8080}, timeout);
+//   platform.table().read({"owner/row"}, [](const auto& rows) { ... });
+//   platform.ListVms([](const auto& vms) { ... });
 #ifndef BEAMHILL_PLATFORM_HTTP_TABLE_H_
 #define BEAMHILL_PLATFORM_HTTP_TABLE_H_
 
