--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -257,7 +257,7 @@
   ended_ += report.ended;
   latency_sum_ += report.latency * report.ended;
   if (now < last_latency_ + kLatencyPeriod) return;
-  const Duration target = SettingTime(in_force_, "latency.target");
+  const Duration target = SettingDuration(in_force_, "latency.target");
   if (ended_ > 0) {
     core_->OnServiceLatency(latency_sum_ / ended_, target, now);
   } else if (report.in_progress == 0) {
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -132,7 +132,7 @@
         static_cast<double>(SettingInt(*values, "weights.evictions"))};
   };
   options.owner.latency_target = [values] {
-    return SettingTime(*values, "latency.target");
+    return SettingDuration(*values, "latency.target");
   };
   options.entry = settings_.name;
   options.incarnation = incarnation_;
--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -364,7 +364,7 @@
 }
 
 void RequestRouter::OnSettings(const SettingValues& values) {
-  longest_deadline_ = SettingTime(values, "requests.deadline");
+  longest_deadline_ = SettingDuration(values, "requests.deadline");
   retry_budget_.set_percent(SettingInt(values, "requests.retry_percent"));
 }
 
--- a/beamhill/settings/settings_tree.cc
+++ b/beamhill/settings/settings_tree.cc
@@ -180,7 +180,7 @@
   return std::stoll(SettingText(values, key));
 }
 
-Duration SettingTime(const SettingValues& values, const std::string& key) {
+Duration SettingDuration(const SettingValues& values, const std::string& key) {
   const Result<Duration> parsed = ParseDuration(SettingText(values, key));
   CheckInvariant(IsOk(parsed), "settings in force were validated");
   return ValueOf(parsed);
