--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -187,7 +187,7 @@
   settings_revision_ = settings.revision;
   in_force_.clear();
   for (const auto& [key, value] : settings.values) in_force_[key] = value;
-  const auto level = ParseLogLevel(SettingText(in_force_, "log.level"));
+  const auto level = ParseLogLevel(SettingString(in_force_, "log.level"));
   if (IsOk(level)) SetLogLevel(ValueOf(level));
   Log(LogLevel::kInfo, "settings_in_force", {{"revision", settings_revision_}});
 }
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -232,7 +232,7 @@
        settings_store_.tree().EffectiveValues("estate/" + settings_.region)) {
     values[key] = value;
   }
-  const auto level = ParseLogLevel(SettingText(values, "log.level"));
+  const auto level = ParseLogLevel(SettingString(values, "log.level"));
   if (IsOk(level)) SetLogLevel(ValueOf(level));
   router_.OnSettings(values);
   RefreshHalls();
--- a/beamhill/settings/settings_tree.cc
+++ b/beamhill/settings/settings_tree.cc
@@ -168,7 +168,7 @@
   return values;
 }
 
-std::string SettingText(const SettingValues& values, const std::string& key) {
+std::string SettingString(const SettingValues& values, const std::string& key) {
   const auto it = values.find(key);
   if (it != values.end()) return it->second;
   const SettingSpec* spec = FindSpec(key);
@@ -177,11 +177,11 @@
 }
 
 int64_t SettingInt(const SettingValues& values, const std::string& key) {
-  return std::stoll(SettingText(values, key));
+  return std::stoll(SettingString(values, key));
 }
 
 Duration SettingDuration(const SettingValues& values, const std::string& key) {
-  const Result<Duration> parsed = ParseDuration(SettingText(values, key));
+  const Result<Duration> parsed = ParseDuration(SettingString(values, key));
   CheckInvariant(IsOk(parsed), "settings in force were validated");
   return ValueOf(parsed);
 }
--- a/beamhill/settings/settings_tree.h
+++ b/beamhill/settings/settings_tree.h
@@ -72,7 +72,7 @@
 // Typed reading of a value in force; the defaults stand in for what is absent.
 int64_t SettingInt(const SettingValues& values, const std::string& key);
 Duration SettingDuration(const SettingValues& values, const std::string& key);
-std::string SettingText(const SettingValues& values, const std::string& key);
+std::string SettingString(const SettingValues& values, const std::string& key);
 
 }  // namespace beamhill
 
