--- a/beamhill/base/stop_sequence.cc
+++ b/beamhill/base/stop_sequence.cc
@@ -2,7 +2,7 @@
 
 namespace beamhill {
 
-bool StopSequence::MayRefuse(TimePoint now) const {
+bool StopSequence::MayRefuseConnections(TimePoint now) const {
   return now - began_ >= options_.linger;
 }
 
@@ -11,7 +11,7 @@
   const Duration waited = now - began_;
   if (waited >= options_.grace - options_.exit_margin) return true;
   const bool quiet = now - active_at_ >= options_.quiet;
-  return released && open_requests == 0 && quiet && MayRefuse(now);
+  return released && open_requests == 0 && quiet && MayRefuseConnections(now);
 }
 
 }  // namespace beamhill
--- a/beamhill/base/stop_sequence.h
+++ b/beamhill/base/stop_sequence.h
@@ -38,7 +38,7 @@
 
   // Whether the balancer has had time to send callers elsewhere, so that new
   // connections need not be taken any more.
-  bool MayRefuse(TimePoint now) const;
+  bool MayRefuseConnections(TimePoint now) const;
   // `released`: what the process owned is given up.
   bool MayExit(TimePoint now, size_t open_requests, bool released) const;
 
--- a/beamhill/base/stop_sequence_test.cc
+++ b/beamhill/base/stop_sequence_test.cc
@@ -19,8 +19,8 @@
 
 TEST(StopSequenceTest, LingersUntilTheBalancerHasNoticed) {
   const StopSequence stop = SequenceOf(seconds(6));
-  EXPECT_FALSE(stop.MayRefuse(kBegan + milliseconds(3000)));
-  EXPECT_TRUE(stop.MayRefuse(kBegan + milliseconds(3100)));
+  EXPECT_FALSE(stop.MayRefuseConnections(kBegan + milliseconds(3000)));
+  EXPECT_TRUE(stop.MayRefuseConnections(kBegan + milliseconds(3100)));
   EXPECT_FALSE(stop.MayExit(kBegan + milliseconds(3000), 0, kReleased));
   EXPECT_TRUE(stop.MayExit(kBegan + milliseconds(3100), 0, kReleased));
 }
