--- a/beamhill/config/config.cc
+++ b/beamhill/config/config.cc
@@ -88,8 +88,8 @@
     return node;
   }
 
-  void Fault(const std::string& key, const YAML::Node& node,
-             const std::string& text) {
+  void AddError(const std::string& key, const YAML::Node& node,
+                const std::string& text) {
     const int line = node.IsDefined() ? node.Mark().line + 1 : 0;
     const std::string where =
         line > 0 ? file + ":" + std::to_string(line) : file;
@@ -100,11 +100,11 @@
   std::optional<std::string> Scalar(const std::string& key, bool required) {
     const YAML::Node node = Find(key);
     if (!node.IsDefined()) {
-      if (required) Fault(key, node, "missing");
+      if (required) AddError(key, node, "missing");
       return std::nullopt;
     }
     if (!node.IsScalar()) {
-      Fault(key, node, "must be a single value");
+      AddError(key, node, "must be a single value");
       return std::nullopt;
     }
     return node.Scalar();
@@ -122,7 +122,7 @@
       if (is_prefix && child.second.IsMap()) {
         FindUnknown(child.second, key);
       } else {
-        Fault(key, child.first, "unknown key");
+        AddError(key, child.first, "unknown key");
       }
     }
   }
@@ -164,8 +164,8 @@
   if (text) {
     const auto parsed = ParseNumber<int64_t>(*text);
     if (!parsed || *parsed < low || *parsed > high) {
-      Fault(key, "'" + *text + "' is not a whole number from " +
-                     std::to_string(low) + " to " + std::to_string(high));
+      AddError(key, "'" + *text + "' is not a whole number from " +
+                        std::to_string(low) + " to " + std::to_string(high));
     } else {
       value = *parsed;
     }
@@ -184,7 +184,7 @@
       std::ostringstream fault;
       fault << "'" << *text << "' is not a number from " << low << " to "
             << high;
-      Fault(key, fault.str());
+      AddError(key, fault.str());
     } else {
       value = *parsed;
     }
@@ -202,8 +202,8 @@
   if (text) {
     const Result<Duration> parsed = ParseDuration(*text);
     if (!IsOk(parsed) || ValueOf(parsed) < low || ValueOf(parsed) > high) {
-      Fault(key, "'" + *text + "' is not a duration from " + DurationText(low) +
-                     " to " + DurationText(high));
+      AddError(key, "'" + *text + "' is not a duration from " +
+                        DurationText(low) + " to " + DurationText(high));
     } else {
       value = ValueOf(parsed);
     }
@@ -221,7 +221,7 @@
     if (IsOk(parsed)) {
       value = ValueOf(parsed);
     } else {
-      Fault(key, ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
+      AddError(key, ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
     }
   }
   impl_->effective[key] = ToString(value);
@@ -232,7 +232,7 @@
   std::vector<Address> addresses;
   const YAML::Node node = impl_->Find(key);
   if (!node.IsDefined() || !node.IsSequence() || node.size() == 0) {
-    Fault(key, "must be a list of addresses, such as [10.0.0.7:7000]");
+    AddError(key, "must be a list of addresses, such as [10.0.0.7:7000]");
     return addresses;
   }
   std::string all;
@@ -240,8 +240,8 @@
     const Result<Address> parsed =
         ParseAddress(item.IsScalar() ? item.Scalar() : "");
     if (!IsOk(parsed)) {
-      impl_->Fault(key, item,
-                   ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
+      impl_->AddError(key, item,
+                      ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
       continue;
     }
     addresses.push_back(ValueOf(parsed));
@@ -255,8 +255,8 @@
   return impl_->Find(key).IsDefined();
 }
 
-void Config::Fault(const std::string& key, const std::string& text) {
-  impl_->Fault(key, impl_->Find(key), text);
+void Config::AddError(const std::string& key, const std::string& text) {
+  impl_->AddError(key, impl_->Find(key), text);
 }
 
 Status Config::Finish() {
--- a/beamhill/config/config.h
+++ b/beamhill/config/config.h
@@ -53,7 +53,7 @@
 
   bool Has(const std::string& key) const;
   // Adds a fault of the caller's own about a key.
-  void Fault(const std::string& key, const std::string& text);
+  void AddError(const std::string& key, const std::string& text);
 
   // Ok, or one error that lists every fault, a line each.
   Status Finish();
--- a/beamhill/entry/entry_settings.cc
+++ b/beamhill/entry/entry_settings.cc
@@ -28,7 +28,7 @@
       config.Time("cell.snapshot_interval", std::chrono::milliseconds(500),
                   std::chrono::minutes(10), settings.cell.snapshot_interval);
   if (settings.cell.ownership_term < 2 * settings.cell.agent_term) {
-    config.Fault("cell.ownership_term", "must be at least twice agent_term");
+    config.AddError("cell.ownership_term", "must be at least twice agent_term");
   }
   const Status status = config.Finish();
   if (!IsOk(status)) return ErrorOf(status);
