--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -276,7 +276,7 @@
   Log(LogLevel::kInfo, "leaving");
   StopSequenceOptions options;
   options.grace = kLongestLeave;
-  options.linger = kLeaveLinger;
+  options.deregistration_delay = kLeaveLinger;
   stop_ = StopSequence(options, BootClock::now());
   if (gate_) gate_->Leave();
   ReportRunner(true);
--- a/beamhill/base/stop_sequence.cc
+++ b/beamhill/base/stop_sequence.cc
@@ -3,7 +3,7 @@
 namespace beamhill {
 
 bool StopSequence::MayRefuseConnections(TimePoint now) const {
-  return now - began_ >= options_.linger;
+  return now - began_ >= options_.deregistration_delay;
 }
 
 bool StopSequence::MayExit(TimePoint now, size_t open_requests,
--- a/beamhill/base/stop_sequence.h
+++ b/beamhill/base/stop_sequence.h
@@ -22,7 +22,7 @@
   // Kept of it for the exit itself.
   Duration exit_margin = std::chrono::milliseconds(700);
   // The balancer asks each second, and believes two misses.
-  Duration linger = std::chrono::milliseconds(3100);
+  Duration deregistration_delay = std::chrono::milliseconds(3100);
   // Answers that were written last are on their way after so long, also on a
   // VM with an eighth of a core.
   Duration quiet = std::chrono::milliseconds(300);
--- a/beamhill/base/stop_sequence_test.cc
+++ b/beamhill/base/stop_sequence_test.cc
@@ -41,7 +41,7 @@
 TEST(StopSequenceTest, IdleProcessStaysForRequestsThatAreOnTheirWay) {
   StopSequenceOptions options;
   options.grace = std::chrono::hours(1);
-  options.linger = milliseconds(500);
+  options.deregistration_delay = milliseconds(500);
   const StopSequence stop(options, kBegan);
   EXPECT_FALSE(stop.MayExit(kBegan + milliseconds(50), 0, kReleased));
   EXPECT_TRUE(stop.MayExit(kBegan + milliseconds(500), 0, kReleased));
