--- a/beamhill/settings/settings_store.cc
+++ b/beamhill/settings/settings_store.cc
@@ -12,10 +12,12 @@
 const char kRevisionKey[] = "settings-revision";
 const char kNodePrefix[] = "settings/";
 const char kHistoryPrefix[] = "settings-history/";
-// A change that keeps losing the race for the next revision gives up.
-constexpr int kMaxTries = 8;
-// Changes kept for operators to look back at.
-constexpr uint64_t kHistoryLength = 200;
+// Concurrent changes compete for the next revision, and one that keeps losing
+// fails after this many attempts.
+constexpr int kMaxAttempts = 8;
+// Number of changes that History returns.
+constexpr uint64_t kMaxHistoryEntries = 200;
+// Zero-padded, so that the key order of the history rows is the revision order.
 constexpr int kRevisionDigits = 12;
 
 std::string HistoryKey(uint64_t revision) {
@@ -24,6 +26,7 @@
          digits;
 }
 
+// The JSON form of a row of a node. `unique` is the id of the last change.
 struct StoredNode {
   uint64_t revision = 0;
   std::string changed_by;
@@ -33,6 +36,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(StoredNode, revision, changed_by, unique,
                                    values)
 
+// Returns nothing if the text isn't JSON of the expected form.
 template <typename T>
 std::optional<T> Parse(const std::string& text) {
   try {
@@ -42,6 +46,7 @@
   }
 }
 
+// Returns 0 for a missing or malformed row.
 uint64_t ParseRevision(const Row& row) {
   return row.version == 0 ? 0 : Parse<uint64_t>(row.value).value_or(0);
 }
@@ -61,7 +66,7 @@
   return {ErrorCode::kConflict,
           "the node has version " + std::to_string(current.version) +
               ", last changed by '" + current.changed_by + "'",
-          "read it again and repeat the change on that version"};
+          "read the node again and repeat the change on that version"};
 }
 
 }  // namespace
@@ -71,9 +76,9 @@
   SettingValues values;
   uint64_t version = 0;
   std::string changed_by;
-  std::string unique;
-  Got done;
-  int tries = 0;
+  std::string change_id;
+  NodeCallback done;
+  int attempts = 0;
 };
 
 SettingsStore::SettingsStore(Table table, Hooks hooks)
@@ -97,7 +102,8 @@
               }));
 }
 
-// The nodes are read after the revision, so they are at least as new.
+// Reads all nodes. They are read after `revision` was, so they are at least as
+// new as that revision.
 void SettingsStore::Load(uint64_t revision, TimePoint sent_at) {
   polling_ = true;
   table_.scan(
@@ -117,7 +123,7 @@
       }));
 }
 
-void SettingsStore::Get(const std::string& node, Got done) {
+void SettingsStore::Get(const std::string& node, NodeCallback done) {
   table_.read(
       {kNodePrefix + node},
       lifetime_.Guard([done = std::move(done)](Result<std::vector<Row>> rows) {
@@ -128,37 +134,40 @@
 
 void SettingsStore::Put(const std::string& node, const SettingValues& values,
                         uint64_t version, const std::string& changed_by,
-                        Got done) {
+                        NodeCallback done) {
   auto put = std::make_shared<PendingPut>();
   put->node = node;
   put->values = values;
   put->version = version;
   put->changed_by = changed_by;
-  put->unique = hooks_.unique();
+  put->change_id = hooks_.new_change_id();
   put->done = std::move(done);
   TryPut(put);
 }
 
 void SettingsStore::TryPut(const std::shared_ptr<PendingPut>& put) {
-  if (++put->tries > kMaxTries) {
+  if (++put->attempts > kMaxAttempts) {
     put->done(Error{ErrorCode::kUnavailable,
-                    "too many changes at the same moment", "try again"});
+                    "too many concurrent changes of the settings",
+                    "try again"});
     return;
   }
   table_.read(
       {kRevisionKey, kNodePrefix + put->node},
       lifetime_.Guard([this, put](Result<std::vector<Row>> rows) {
         if (!IsOk(rows)) {
-          // Only a first try is known not to have been written.
+          // An earlier attempt may have been committed although its answer was
+          // lost. Only on the first attempt has nothing been written for sure.
           Error error = ErrorOf(rows);
-          if (put->tries > 1) error.code = ErrorCode::kUnknownOutcome;
+          if (put->attempts > 1) error.code = ErrorCode::kUnknownOutcome;
           return put->done(error);
         }
         const Row& revision_row = ValueOf(rows)[0];
         const Row& node_row = ValueOf(rows)[1];
         const auto stored = Parse<StoredNode>(node_row.value);
-        if (stored && stored->unique == put->unique) {
-          return put->done(ToNode(node_row));  // An earlier try took effect.
+        if (stored && stored->unique == put->change_id) {
+          return put->done(
+              ToNode(node_row));  // An earlier attempt was committed.
         }
         if (node_row.version != put->version) {
           return put->done(VersionConflict(ToNode(node_row)));
@@ -166,7 +175,7 @@
         StoredNode next;
         next.revision = ParseRevision(revision_row) + 1;
         next.changed_by = put->changed_by;
-        next.unique = put->unique;
+        next.unique = put->change_id;
         next.values = put->values;
         Transaction change;
         change.writes.push_back(
@@ -192,12 +201,13 @@
                 }
                 case CommitResult::kNotApplied:
                   put->done(Error{ErrorCode::kUnavailable,
-                                  "the platform's table refused the write",
+                                  "the platform's table rejected the write",
                                   "try again"});
                   return;
                 case CommitResult::kConflict:
                 case CommitResult::kUnknown:
-                  // The next read tells a lost answer from a lost race.
+                  // The next attempt reads the node and so finds out whether
+                  // this commit was applied or another change came first.
                   TryPut(put);
                   return;
               }
@@ -220,8 +230,8 @@
                              stored->changed_by, stored->values});
         }
         std::reverse(changes.begin(), changes.end());
-        if (changes.size() > kHistoryLength) {
-          changes.resize(kHistoryLength);
+        if (changes.size() > kMaxHistoryEntries) {
+          changes.resize(kMaxHistoryEntries);
         }
         done(std::move(changes));
       }));
--- a/beamhill/settings/settings_tree.cc
+++ b/beamhill/settings/settings_tree.cc
@@ -7,7 +7,7 @@
 namespace beamhill {
 namespace {
 
-// Keys of the form quota.{team}, one for each team that has a quota.
+// Quotas have one key per team, "quota.{team}", and share one SettingSpec.
 constexpr std::string_view kQuotaPrefix = "quota.";
 constexpr SettingSpec kQuota = {
     "quota.{team}",
@@ -16,8 +16,9 @@
     1,
     100,
     "",
-    "the largest part of each cell that the team may hold, in percent"};
+    "maximum share of each cell that the team may use, in percent"};
 
+// Returns nullptr for an unknown key.
 const SettingSpec* FindSpec(std::string_view key) {
   if (key.size() > kQuotaPrefix.size() &&
       key.substr(0, kQuotaPrefix.size()) == kQuotaPrefix) {
@@ -30,14 +31,17 @@
   return it == specs.end() ? nullptr : &*it;
 }
 
+// At most 17 characters, so that the number fits into an int64_t.
 bool IsInt(const std::string& text) {
   const size_t digits_at = text.rfind('-', 0) == 0 ? 1 : 0;
   return text.size() > digits_at && text.size() < 18 &&
          text.find_first_not_of("0123456789", digits_at) == std::string::npos;
 }
 
-// Empty when the value is allowed, or what is allowed.
-std::string Complaint(const SettingSpec& spec, const std::string& value) {
+// Returns an empty text if the value is allowed, otherwise the constraint that
+// it violates.
+std::string ViolatedConstraint(const SettingSpec& spec,
+                               const std::string& value) {
   const std::string range =
       std::to_string(spec.low) + " to " + std::to_string(spec.high);
   switch (spec.type) {
@@ -71,8 +75,8 @@
              std::string_view::npos;
 }
 
-// The node and all above it, from the top.
-std::vector<std::string> PathTo(const std::string& node) {
+// Returns the node and its ancestors, starting with the root.
+std::vector<std::string> PathFromRoot(const std::string& node) {
   std::vector<std::string> path;
   for (size_t at = node.find('/'); at != std::string::npos;
        at = node.find('/', at + 1)) {
@@ -87,44 +91,45 @@
 const std::vector<SettingSpec>& KnownSettings() {
   static const std::vector<SettingSpec> kSpecs = {
       {"log.level", SettingType::kChoice, "info", 0, 0,
-       "debug|info|warning|error", "least level that is logged"},
+       "debug|info|warning|error", "lowest level that is logged"},
       {"requests.deadline", SettingType::kDuration, "10s", 10, 600'000, "",
-       "longest time a caller's request may take"},
+       "maximum duration of a caller's request"},
       {"requests.retry_percent", SettingType::kInt, "20", 0, 100, "",
-       "retries of proven not-run requests, as a share of requests"},
+       "maximum retries of requests that are known not to have run, in percent "
+       "of all requests"},
       {"weights.tail_latency", SettingType::kInt, "50", 0, 100, "",
-       "weight of the services' tail latency in decisions"},
+       "weight of the services' tail latency in scheduling decisions"},
       {"weights.throughput", SettingType::kInt, "30", 0, 100, "",
-       "weight of batch throughput in decisions"},
+       "weight of batch throughput in scheduling decisions"},
       {"weights.evictions", SettingType::kInt, "20", 0, 100, "",
-       "weight of avoided evictions in decisions"},
+       "weight of avoiding evictions in scheduling decisions"},
       {"evictions.per_hour", SettingType::kInt, "60", 0, 100'000, "",
-       "evictions that one cell may order in an hour"},
+       "maximum number of evictions per cell and hour"},
       {"latency.target", SettingType::kDuration, "100ms", 1, 60'000, "",
-       "service latency above which batch tasks yield"},
+       "service latency above which batch tasks are throttled"},
   };
   return kSpecs;
 }
 
 Status ValidateSettings(const SettingValues& values) {
-  std::string faults;
+  std::string violations;
   for (const auto& [key, value] : values) {
     const SettingSpec* spec = FindSpec(key);
-    const std::string complaint =
-        spec == nullptr ? "an unknown key" : Complaint(*spec, value);
-    if (complaint.empty()) continue;
-    faults += (faults.empty() ? "" : "; ") + key;
-    faults += spec == nullptr
-                  ? " is an unknown key"
-                  : " must be " + complaint + ", not '" + value + "'";
+    const std::string constraint =
+        spec == nullptr ? "a known key" : ViolatedConstraint(*spec, value);
+    if (constraint.empty()) continue;
+    violations += (violations.empty() ? "" : "; ") + key;
+    violations += spec == nullptr
+                      ? " is an unknown key"
+                      : " must be " + constraint + ", not '" + value + "'";
   }
-  if (faults.empty()) return Ok{};
-  return Error{ErrorCode::kInvalidArgument, faults,
+  if (violations.empty()) return Ok{};
+  return Error{ErrorCode::kInvalidArgument, violations,
                "see docs/operators/settings.md for all keys"};
 }
 
 bool IsSettingsNode(std::string_view node) {
-  const std::vector<std::string> path = PathTo(std::string(node));
+  const std::vector<std::string> path = PathFromRoot(std::string(node));
   if (path.front() != "estate" || path.size() > 3) return false;
   for (size_t i = 1; i < path.size(); ++i) {
     if (!IsName(path[i].substr(path[i - 1].size() + 1))) return false;
@@ -151,10 +156,10 @@
     result[std::string(spec.key)] = {std::string(spec.default_value),
                                      "default"};
   }
-  for (const std::string& level : PathTo(node)) {
-    const auto it = nodes_.find(level);
+  for (const std::string& ancestor : PathFromRoot(node)) {
+    const auto it = nodes_.find(ancestor);
     if (it == nodes_.end()) continue;
-    for (const auto& [key, value] : it->second) result[key] = {value, level};
+    for (const auto& [key, value] : it->second) result[key] = {value, ancestor};
   }
   return result;
 }
@@ -172,7 +177,7 @@
   const auto it = values.find(key);
   if (it != values.end()) return it->second;
   const SettingSpec* spec = FindSpec(key);
-  CheckInvariant(spec != nullptr, "a setting that is read is a known one");
+  CheckInvariant(spec != nullptr, "every key that is read has a SettingSpec");
   return std::string(spec->default_value);
 }
 
@@ -182,7 +187,7 @@
 
 Duration SettingDuration(const SettingValues& values, const std::string& key) {
   const Result<Duration> parsed = ParseDuration(SettingString(values, key));
-  CheckInvariant(IsOk(parsed), "settings in force were validated");
+  CheckInvariant(IsOk(parsed), "only validated settings are stored");
   return ValueOf(parsed);
 }
 
--- a/beamhill/settings/settings_tree.h
+++ b/beamhill/settings/settings_tree.h
@@ -1,12 +1,13 @@
-// The tree of settings: estate > region > hall.
+// Settings that operators change at run time, as a tree of nodes: the estate
+// (the root), its regions and their data halls.
 //
-// A lower level overrides a higher one, key by key. Every accepted change
-// takes the next revision of the whole tree, so "newer" has one meaning
-// everywhere and a process never goes back.
+// A value set on a lower level overrides the value of the same key on a higher
+// one. Every accepted change increments the revision of the whole tree, so all
+// processes agree on which settings are newer, and none returns to older ones.
 //
 //   SettingsTree tree;
 //   tree.Replace(revision, rows);
-//   auto in_force = tree.Effective("estate/mongolia/khan-uul");
+//   auto effective = tree.Effective("estate/mongolia/khan-uul");
 #ifndef BEAMHILL_SETTINGS_SETTINGS_TREE_H_
 #define BEAMHILL_SETTINGS_SETTINGS_TREE_H_
 
@@ -24,43 +25,52 @@
 
 enum class SettingType : uint8_t { kInt, kDuration, kChoice };
 
-// One known key.
+// Describes a key: its type, default and allowed values.
 struct SettingSpec {
   std::string_view key;
   SettingType type;
   std::string_view default_value;
-  int64_t low = 0;           // kInt: least; kDuration: least, in milliseconds.
-  int64_t high = 0;          // Likewise the greatest.
-  std::string_view choices;  // kChoice: separated by '|'.
-  std::string_view meaning;
+  int64_t low = 0;           // Minimum; of kDuration in milliseconds.
+  int64_t high = 0;          // Maximum; of kDuration in milliseconds.
+  std::string_view choices;  // Allowed values of kChoice, separated by '|'.
+  std::string_view description;
 };
 
-// All known keys, by name.
+// Returns all keys except the quotas, whose keys contain the team:
+// "quota.{team}".
 const std::vector<SettingSpec>& KnownSettings();
 
+// Values by key.
 using SettingValues = std::map<std::string, std::string>;
 
-// Refuses unknown keys and values out of range; the error names each.
+// Checks all keys and values. The error kInvalidArgument lists every unknown
+// key and every value that isn't allowed.
 Status ValidateSettings(const SettingValues& values);
 
-// "estate", "estate/{region}" or "estate/{region}/{hall}".
+// Returns whether `node` has the form "estate", "estate/{region}" or
+// "estate/{region}/{hall}".
 bool IsSettingsNode(std::string_view node);
+// Returns "estate/{region}/{hall}".
 std::string HallNode(const std::string& region, const std::string& hall);
 
+// The value that applies to a node.
 struct EffectiveSetting {
   std::string value;
-  std::string node;  // The level it came from; "default" for none.
+  std::string node;  // The node that sets the value, or "default".
 };
 
+// Holds the values of all nodes at one revision.
 class SettingsTree {
  public:
-  // Takes the values of all nodes as of `revision`. Returns false, and
-  // changes nothing, when a later or equal revision is in force.
+  // Replaces the values of all nodes by those at `revision`. Does nothing and
+  // returns false unless `revision` is later than the current one.
   bool Replace(uint64_t revision, std::map<std::string, SettingValues> nodes);
 
   uint64_t revision() const { return revision_; }
+  // Returns the value of every key that applies to the node, with its origin.
   std::map<std::string, EffectiveSetting> Effective(
       const std::string& node) const;
+  // Returns the same keys and values without the origin.
   std::vector<std::pair<std::string, std::string>> EffectiveValues(
       const std::string& node) const;
 
@@ -69,7 +79,8 @@
   std::map<std::string, SettingValues> nodes_;
 };
 
-// Typed reading of a value in force; the defaults stand in for what is absent.
+// These return the value of a key, or its default if `values` lacks it. The key
+// must be known and the value valid for its type.
 int64_t SettingInt(const SettingValues& values, const std::string& key);
 Duration SettingDuration(const SettingValues& values, const std::string& key);
 std::string SettingString(const SettingValues& values, const std::string& key);
