--- a/beamhill/config/config.cc
+++ b/beamhill/config/config.cc
@@ -37,7 +37,7 @@
 
 Result<Duration> ParseDuration(const std::string& text) {
   const Error error{ErrorCode::kInvalidArgument,
-                    "not a duration: '" + text + "'",
+                    "invalid duration: '" + text + "'",
                     "write a whole number and ms, s, min or h, such as 250ms"};
   const size_t unit_at = text.find_first_not_of("0123456789");
   if (unit_at == std::string::npos || unit_at == 0) return error;
@@ -53,8 +53,8 @@
 
 Result<Address> ParseAddress(const std::string& text) {
   const Error error{ErrorCode::kInvalidArgument,
-                    "not an address: '" + text + "'",
-                    "write an IPv4 number and a port, such as 10.0.0.7:7000"};
+                    "invalid address: '" + text + "'",
+                    "write an IPv4 address and a port, such as 10.0.0.7:7000"};
   const size_t colon = text.find(':');
   if (colon == std::string::npos) return error;
   const std::string ip = text.substr(0, colon);
@@ -72,9 +72,11 @@
   std::string file;
   YAML::Node root;
   std::map<std::string, std::string> effective;
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   std::set<std::string> known;
 
+  // Returns the node at `key`, which may be undefined, and marks the key as
+  // known.
   YAML::Node Find(const std::string& key) {
     known.insert(key);
     YAML::Node node = YAML::Clone(root);
@@ -88,15 +90,17 @@
     return node;
   }
 
+  // Adds an error with the line of `node`, or without one if it is undefined.
   void AddError(const std::string& key, const YAML::Node& node,
                 const std::string& text) {
     const int line = node.IsDefined() ? node.Mark().line + 1 : 0;
     const std::string where =
         line > 0 ? file + ":" + std::to_string(line) : file;
-    faults.push_back(where + ": " + key + ": " + text);
+    errors.push_back(where + ": " + key + ": " + text);
   }
 
-  // The scalar's text, or nothing after noting a fault or for a default.
+  // Returns the text of the scalar at `key`. Returns nothing if the key is
+  // missing, or after adding an error.
   std::optional<std::string> Scalar(const std::string& key, bool required) {
     const YAML::Node node = Find(key);
     if (!node.IsDefined()) {
@@ -104,13 +108,15 @@
       return std::nullopt;
     }
     if (!node.IsScalar()) {
-      AddError(key, node, "must be a single value");
+      AddError(key, node, "must be a scalar, not a list or a map");
       return std::nullopt;
     }
     return node.Scalar();
   }
 
-  void FindUnknown(const YAML::Node& node, const std::string& prefix) {
+  // Adds an error for each key at or below `node` that was never read. A map is
+  // known if a key below it was read.
+  void FindUnknownKeys(const YAML::Node& node, const std::string& prefix) {
     for (const auto& child : node) {
       const std::string key = prefix.empty()
                                   ? child.first.Scalar()
@@ -120,7 +126,7 @@
       const bool is_prefix = below != known.end() &&
                              below->compare(0, key.size() + 1, key + ".") == 0;
       if (is_prefix && child.second.IsMap()) {
-        FindUnknown(child.second, key);
+        FindUnknownKeys(child.second, key);
       } else {
         AddError(key, child.first, "unknown key");
       }
@@ -135,10 +141,11 @@
     impl->root = YAML::LoadFile(file);
   } catch (const YAML::Exception& e) {
     return Error{ErrorCode::kInvalidArgument, file + ": " + e.what(),
-                 "correct the file"};
+                 "check that the file exists and is valid YAML"};
   }
   if (!impl->root.IsMap()) {
-    return Error{ErrorCode::kInvalidArgument, file + ": not a map of settings",
+    return Error{ErrorCode::kInvalidArgument,
+                 file + ": the top level must be a map of settings",
                  "see the files under examples/"};
   }
   return Config(std::move(impl));
@@ -181,17 +188,17 @@
   if (text) {
     const auto parsed = ParseNumber<double>(*text);
     if (!parsed || !(*parsed >= low && *parsed <= high)) {
-      std::ostringstream fault;
-      fault << "'" << *text << "' is not a number from " << low << " to "
-            << high;
-      AddError(key, fault.str());
+      std::ostringstream message;
+      message << "'" << *text << "' is not a number from " << low << " to "
+              << high;
+      AddError(key, message.str());
     } else {
       value = *parsed;
     }
   }
-  std::ostringstream shown;
-  shown << value;
-  impl_->effective[key] = shown.str();
+  std::ostringstream formatted;
+  formatted << value;
+  impl_->effective[key] = formatted.str();
   return value;
 }
 
@@ -260,12 +267,12 @@
 }
 
 Status Config::Finish() {
-  impl_->FindUnknown(impl_->root, "");
-  if (impl_->faults.empty()) return Ok{};
+  impl_->FindUnknownKeys(impl_->root, "");
+  if (impl_->errors.empty()) return Ok{};
   std::string all;
-  for (const std::string& fault : impl_->faults) all += fault + "\n";
+  for (const std::string& error : impl_->errors) all += error + "\n";
   return Error{ErrorCode::kInvalidArgument, all,
-               "correct the settings; --check validates them without a start"};
+               "correct the settings; --check validates them without starting"};
 }
 
 const std::map<std::string, std::string>& Config::effective() const {
--- a/beamhill/config/config.h
+++ b/beamhill/config/config.h
@@ -1,13 +1,13 @@
-// A process's own settings, read from a YAML file at its start.
+// Reads the configuration of a process from a YAML file.
 //
-// Keys are read one by one, and every fault is collected, so that an operator
+// Errors are collected while the keys are read one by one, so that an operator
 // sees all of them at once, each with file, line, key and allowed range.
 //
 //   Result<Config> loaded = Config::Load("entry.yaml");
 //   Config& config = ValueOf(loaded);
 //   const std::string name = config.Text("name");
 //   const int64_t slots = config.Int("runner.slots", 1, 1024, 8);
-//   Status status = config.Finish();   // also names unknown keys
+//   Status status = config.Finish();  // Also reports unknown keys.
 #ifndef BEAMHILL_CONFIG_CONFIG_H_
 #define BEAMHILL_CONFIG_CONFIG_H_
 
@@ -24,21 +24,25 @@
 
 namespace beamhill {
 
-// "250ms", "2s", "20min" or "1h".
+// Parses a whole number with the unit ms, s, min or h: "250ms", "20min".
 Result<Duration> ParseDuration(const std::string& text);
-// "127.0.0.1:7000".
+// Parses an IPv4 address and a port: "127.0.0.1:7000".
 Result<Address> ParseAddress(const std::string& text);
 std::string ToString(const Address& address);
 
+// Reads typed values by key and remembers which keys are known.
 class Config {
  public:
+  // Parses the file. The error kInvalidArgument says why it can't be read or
+  // isn't a map.
   static Result<Config> Load(const std::string& file);
   Config(Config&&) noexcept;
   Config& operator=(Config&&) noexcept;
   ~Config();
 
-  // A key is a path such as "table.address". Without a default the key is
-  // required. After a fault an arbitrary allowed value is returned.
+  // These read the value at a path such as "table.address". A key without a
+  // default is required. A missing or invalid value adds an error that Finish
+  // returns; the result is then only a placeholder.
   std::string Text(const std::string& key,
                    std::optional<std::string> default_value = std::nullopt);
   int64_t Int(const std::string& key, int64_t low, int64_t high,
@@ -52,13 +56,14 @@
   std::vector<Address> IpList(const std::string& key);
 
   bool Has(const std::string& key) const;
-  // Adds a fault of the caller's own about a key.
+  // Adds an error about a key, for constraints that the caller checks.
   void AddError(const std::string& key, const std::string& text);
 
-  // Ok, or one error that lists every fault, a line each.
+  // Returns one error that lists all errors so far, one per line, and all keys
+  // of the file that were never read.
   Status Finish();
 
-  // Every key that was read, with the value in force.
+  // Returns every key that was read, with its value or default.
   const std::map<std::string, std::string>& effective() const;
 
  private:
--- a/beamhill/config/config_test.cc
+++ b/beamhill/config/config_test.cc
@@ -33,7 +33,7 @@
   EXPECT_EQ(config.effective().at("runner.connections"), "64");
 }
 
-TEST(Config, NamesEveryFaultWithLineKeyAndRange) {
+TEST(Config, ReportsEveryErrorWithLineKeyAndRange) {
   Result<Config> loaded = Config::Load(
       WriteFile("slots: many\ntimeout: -2s\nnmae: x\naddress: nowhere\n"));
   Config& config = ValueOf(loaded);
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(Config, NamesTheLineOfBrokenYaml) {
+TEST(Config, ReportsTheLineOfMalformedYaml) {
   const Result<Config> loaded = Config::Load(WriteFile("a: [1\nb: 2\n"));
   ASSERT_FALSE(IsOk(loaded));
   EXPECT_NE(ErrorOf(loaded).message.find("line"), std::string::npos);
--- a/beamhill/ctl/ctl_main.cc
+++ b/beamhill/ctl/ctl_main.cc
@@ -1,7 +1,8 @@
-// beamhillctl: the operators' command line.
+// beamhillctl: the command-line client for operators.
 //
-// Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 no answer;
-// 4 changed meanwhile (read again and repeat).
+// Exit codes: 0 success; 1 rejected or failed; 2 usage error; 3 no answer;
+// 4 version conflict, since the settings changed after they were read (repeat
+// the command).
 #include <tclap/CmdLine.h>
 
 #include <chrono>
@@ -24,21 +25,25 @@
 using Json = nlohmann::json;
 using Args = std::vector<std::string>;
 
-constexpr int kDone = 0;
-constexpr int kRefused = 1;
-constexpr int kUsage = 2;
-constexpr int kNoAnswer = 3;
-constexpr int kChangedMeanwhile = 4;
-constexpr Duration kTimeout = std::chrono::seconds(15);
+constexpr int kExitSuccess = 0;
+constexpr int kExitRejected = 1;
+constexpr int kExitUsage = 2;
+constexpr int kExitNoAnswer = 3;
+constexpr int kExitVersionConflict = 4;
+constexpr Duration kCallTimeout = std::chrono::seconds(15);
 
+// Runs one command against the operators' HTTP API of an entry.
 class Ctl {
  public:
-  Ctl(Address server, std::string token, std::string by, bool json)
+  Ctl(Address server, std::string token, std::string operator_name,
+      bool print_json)
       : server_(std::move(server)),
         token_(std::move(token)),
-        by_(std::move(by)),
-        json_(json) {}
+        operator_name_(std::move(operator_name)),
+        print_json_(print_json) {}
 
+  // Returns the exit code. `watch` repeats the command every second until the
+  // job ends, or for ever; `key` is the idempotency key of a submission.
   int Run(const Args& args, bool watch, const std::string& key) {
     const std::string& command = args.front();
     if (command == "submit" && args.size() == 2) return Submit(args[1], key);
@@ -49,24 +54,25 @@
     if (command == "drain" && args.size() == 1) return Drain();
     if (command == "state" && args.size() == 1) return State();
     if (command == "status" && args.size() == 1) return Status(watch);
-    std::cerr << "unknown command, or the wrong number of words; see --help\n";
-    return kUsage;
+    std::cerr << "unknown command or wrong number of arguments; see --help\n";
+    return kExitUsage;
   }
 
  private:
-  // Prints the error of anything but a success, and sets exit_.
+  // Returns the response if its status is below 300. Otherwise prints the
+  // error, sets exit_code_ and returns nothing.
   std::optional<HttpResponse> Call(const std::string& method,
                                    const std::string& target,
                                    const std::string& body = "",
                                    HttpHeaders headers = {}) {
     headers.emplace_back("Authorization", "Bearer " + token_);
-    headers.emplace_back("Beamhill-Operator", by_);
+    headers.emplace_back("Beamhill-Operator", operator_name_);
     const Result<HttpResponse> result =
-        CallAndWait(server_, {method, target, headers, body}, kTimeout);
+        CallAndWait(server_, {method, target, headers, body}, kCallTimeout);
     if (!IsOk(result)) {
       std::cerr << ErrorOf(result).message << "; " << ErrorOf(result).action
                 << "\n";
-      exit_ = kNoAnswer;
+      exit_code_ = kExitNoAnswer;
       return std::nullopt;
     }
     const HttpResponse& response = ValueOf(result);
@@ -78,7 +84,7 @@
     } else {
       std::cerr << "HTTP status " << response.status << "\n";
     }
-    exit_ = response.status == 412 ? kChangedMeanwhile : kRefused;
+    exit_code_ = response.status == 412 ? kExitVersionConflict : kExitRejected;
     return std::nullopt;
   }
 
@@ -91,15 +97,18 @@
     return Json::parse(response->body, nullptr, false);
   }
 
-  int PrintOr(const Json& json, const std::function<void()>& table) const {
-    if (json_) {
+  // Prints `json` if --output is json, otherwise calls `print_table`.
+  int PrintResult(const Json& json,
+                  const std::function<void()>& print_table) const {
+    if (print_json_) {
       std::cout << json.dump(2) << "\n";
     } else {
-      table();
+      print_table();
     }
-    return kDone;
+    return kExitSuccess;
   }
 
+  // Reads a file, or standard input if `path` is "-".
   static std::string ReadFile(const std::string& path) {
     std::ostringstream text;
     if (path == "-") {
@@ -114,22 +123,24 @@
     if (key.empty()) {
       std::random_device device;
       key = std::to_string(device()) + "-" + std::to_string(device());
-      std::cerr << "key " << key << " (give it with --key to repeat safely)\n";
+      std::cerr << "idempotency key " << key
+                << " (pass it with --key to retry without a second job)\n";
     }
     const auto json = CallJson("POST", "/v1/jobs", ReadFile(file),
                                {{"Idempotency-Key", key}});
-    if (!json) return exit_;
-    return PrintOr(*json, [&] {
+    if (!json) return exit_code_;
+    return PrintResult(*json, [&] {
       std::cout << json->value("job", "")
-                << (json->value("repeated", false) ? "  (accepted before)" : "")
+                << (json->value("repeated", false) ? "  (already submitted)"
+                                                   : "")
                 << "\n";
     });
   }
 
   int Jobs() {
     const auto json = CallJson("GET", "/v1/jobs");
-    if (!json) return exit_;
-    return PrintOr(*json, [&] {
+    if (!json) return exit_code_;
+    return PrintResult(*json, [&] {
       std::cout << std::left << std::setw(40) << "JOB" << std::setw(20)
                 << "TEAM" << std::setw(20) << "CLASS" << std::setw(9)
                 << "URGENCY" << std::right << std::setw(9) << "TASKS"
@@ -147,8 +158,8 @@
   int Job(const std::string& id, bool watch) {
     while (true) {
       const auto json = CallJson("GET", "/v1/jobs/" + id);
-      if (!json) return exit_;
-      PrintOr(*json, [&] {
+      if (!json) return exit_code_;
+      PrintResult(*json, [&] {
         std::cout << json->value("state", "") << "  " << json->value("done", 0)
                   << "/" << json->value("tasks", 0) << " done, "
                   << json->value("failed", 0) << " failed, "
@@ -156,7 +167,7 @@
       });
       const std::string state = json->value("state", "");
       if (!watch || state.rfind("finished", 0) == 0 || state == "cancelled") {
-        return kDone;
+        return kExitSuccess;
       }
       std::this_thread::sleep_for(std::chrono::seconds(1));
     }
@@ -164,8 +175,8 @@
 
   int Cancel(const std::string& id) {
     const auto json = CallJson("DELETE", "/v1/jobs/" + id);
-    if (!json) return exit_;
-    return PrintOr(*json, [] { std::cout << "cancelled\n"; });
+    if (!json) return exit_code_;
+    return PrintResult(*json, [] { std::cout << "cancelled\n"; });
   }
 
   int Settings(const Args& args) {
@@ -176,13 +187,13 @@
     if (verb == "set" && args.size() >= 4) return SetSettings(args);
     std::cerr << "settings get NODE | set NODE KEY=VALUE... | diff NODE NODE "
                  "| history\n";
-    return kUsage;
+    return kExitUsage;
   }
 
   int GetSettings(const std::string& node) {
     const auto json = CallJson("GET", "/v1/settings/" + node + "?effective=1");
-    if (!json) return exit_;
-    return PrintOr(*json, [&] {
+    if (!json) return exit_code_;
+    return PrintResult(*json, [&] {
       std::cout << "revision " << json->value("revision", 0) << "\n";
       for (const auto& [key, setting] : json->at("effective").items()) {
         std::cout << std::left << std::setw(28) << key << std::setw(12)
@@ -192,18 +203,19 @@
     });
   }
 
-  // Changes some keys of a node on the version just read; KEY= removes one.
+  // Changes the given keys of a node and fails with kExitVersionConflict if the
+  // node changes between the read and the write. "KEY=" removes a key.
   int SetSettings(const Args& args) {
     const std::string target = "/v1/settings/" + args[2];
     const auto current = Call("GET", target);
-    if (!current) return exit_;
+    if (!current) return exit_code_;
     Json values = Json::parse(current->body, nullptr, false)
                       .value("values", Json::object());
     for (size_t i = 3; i < args.size(); ++i) {
       const size_t equals = args[i].find('=');
       if (equals == std::string::npos) {
-        std::cerr << "not KEY=VALUE: " << args[i] << "\n";
-        return kUsage;
+        std::cerr << "expected KEY=VALUE: " << args[i] << "\n";
+        return kExitUsage;
       }
       const std::string value = args[i].substr(equals + 1);
       if (value.empty()) {
@@ -216,25 +228,26 @@
         FindHeader(current->headers, "ETag").value_or("\"0\"");
     const auto json =
         CallJson("PUT", target, values.dump(), {{"If-Match", etag}});
-    if (!json) return exit_;
-    return PrintOr(*json, [&] {
+    if (!json) return exit_code_;
+    return PrintResult(*json, [&] {
       std::cout << "accepted as revision " << json->value("revision", 0)
                 << "\n";
     });
   }
 
+  // Prints the keys whose effective values differ between two nodes.
   int Diff(const std::string& left, const std::string& right) {
     const auto a = CallJson("GET", "/v1/settings/" + left + "?effective=1");
-    if (!a) return exit_;
+    if (!a) return exit_code_;
     const auto b = CallJson("GET", "/v1/settings/" + right + "?effective=1");
-    if (!b) return exit_;
+    if (!b) return exit_code_;
     Json differences = Json::object();
     for (const auto& [key, setting] : a->at("effective").items()) {
       const std::string here = setting.value("value", "");
       const std::string there = b->at("effective").at(key).value("value", "");
       if (here != there) differences[key] = {here, there};
     }
-    return PrintOr(differences, [&] {
+    return PrintResult(differences, [&] {
       for (const auto& [key, pair] : differences.items()) {
         std::cout << std::left << std::setw(28) << key << std::setw(12)
                   << pair[0].get<std::string>() << pair[1].get<std::string>()
@@ -245,8 +258,8 @@
 
   int History() {
     const auto json = CallJson("GET", "/v1/settings-history");
-    if (!json) return exit_;
-    return PrintOr(*json, [&] {
+    if (!json) return exit_code_;
+    return PrintResult(*json, [&] {
       for (const Json& change : json->at("changes")) {
         std::cout << std::left << std::setw(8) << change.value("revision", 0)
                   << std::setw(28) << change.value("node", "") << std::setw(16)
@@ -258,25 +271,26 @@
 
   int Drain() {
     const auto response = Call("POST", "/v1/drain");
-    if (!response) return exit_;
-    std::cout << "draining; the process ends when its work in progress has\n";
-    return kDone;
+    if (!response) return exit_code_;
+    std::cout << "draining; the process exits when its work in progress has "
+                 "ended\n";
+    return kExitSuccess;
   }
 
   int State() {
     const auto response = Call("GET", "/v1/state");
-    if (!response) return exit_;
+    if (!response) return exit_code_;
     std::cout << response->body;
-    return kDone;
+    return kExitSuccess;
   }
 
   int Status(bool watch) {
     while (true) {
       const auto state = CallJson("GET", "/v1/state");
-      if (!state) return exit_;
-      if (watch && !json_) std::cout << "\033[H\033[2J";
-      PrintOr(*state, [&] { PrintStatus(*state); });
-      if (!watch) return kDone;
+      if (!state) return exit_code_;
+      if (watch && !print_json_) std::cout << "\033[H\033[2J";
+      PrintResult(*state, [&] { PrintStatus(*state); });
+      if (!watch) return kExitSuccess;
       std::this_thread::sleep_for(std::chrono::seconds(1));
     }
   }
@@ -322,49 +336,54 @@
 
   Address server_;
   std::string token_;
-  std::string by_;
-  bool json_;
-  int exit_ = kRefused;
+  std::string operator_name_;
+  bool print_json_;
+  int exit_code_ = kExitRejected;
 };
 
-std::string FromEnvironment(const char* name, const char* otherwise) {
+std::string FromEnvironment(const char* name, const char* default_value) {
   const char* value = std::getenv(name);
-  return value == nullptr ? otherwise : value;
+  return value == nullptr ? default_value : value;
 }
 
 int Main(int argc, char** argv) {
   TCLAP::CmdLine cmd(
-      "beamhill's command line. Commands: submit FILE | jobs | job ID | "
+      "Command-line client for operators of beamhill. Commands: submit FILE | "
+      "jobs | job ID | "
       "cancel ID | settings get NODE | settings set NODE KEY=VALUE... | "
       "settings diff NODE NODE | settings history | drain | state | status. "
-      "Exit codes: 0 done, 1 refused, 2 usage, 3 no answer, 4 changed "
-      "meanwhile.");
+      "Exit codes: 0 success, 1 rejected or failed, 2 usage error, 3 no "
+      "answer, "
+      "4 version conflict.");
   TCLAP::ValueArg<std::string> server(
-      "s", "server", "operators' address of an entry (BEAMHILL_SERVER)", false,
-      FromEnvironment("BEAMHILL_SERVER", "127.0.0.1:17001"), "ip:port", cmd);
+      "s", "server", "address of an entry's operators' API (BEAMHILL_SERVER)",
+      false, FromEnvironment("BEAMHILL_SERVER", "127.0.0.1:17001"), "ip:port",
+      cmd);
   TCLAP::ValueArg<std::string> token(
-      "t", "token", "operators' token (BEAMHILL_TOKEN)", false,
+      "t", "token", "token of the operators' API (BEAMHILL_TOKEN)", false,
       FromEnvironment("BEAMHILL_TOKEN", ""), "text", cmd);
-  TCLAP::ValueArg<std::string> by("", "by", "who makes the change", false,
-                                  FromEnvironment("USER", "operator"), "name",
-                                  cmd);
-  TCLAP::ValueArg<std::string> output("o", "output", "table or json", false,
+  TCLAP::ValueArg<std::string> by(
+      "", "by", "operator name that is recorded with a change", false,
+      FromEnvironment("USER", "operator"), "name", cmd);
+  TCLAP::ValueArg<std::string> output("o", "output",
+                                      "output format: table or json", false,
                                       "table", "form", cmd);
-  TCLAP::ValueArg<std::string> key("k", "key", "idempotency key of a submit",
-                                   false, "", "text", cmd);
-  TCLAP::SwitchArg watch("w", "watch", "repeat every second", cmd);
-  TCLAP::UnlabeledMultiArg<std::string> words("command", "what to do", true,
-                                              "command", cmd);
+  TCLAP::ValueArg<std::string> key(
+      "k", "key", "idempotency key of a submission", false, "", "text", cmd);
+  TCLAP::SwitchArg watch("w", "watch", "repeat job or status every second",
+                         cmd);
+  TCLAP::UnlabeledMultiArg<std::string> command_args(
+      "command", "command and its arguments", true, "command", cmd);
   cmd.parse(argc, argv);
   const Result<Address> address = ParseAddress(server.getValue());
   if (!IsOk(address)) {
     std::cerr << ErrorOf(address).message << "; " << ErrorOf(address).action
               << "\n";
-    return kUsage;
+    return kExitUsage;
   }
   Ctl ctl(ValueOf(address), token.getValue(), by.getValue(),
           output.getValue() == "json");
-  return ctl.Run(words.getValue(), watch.getValue(), key.getValue());
+  return ctl.Run(command_args.getValue(), watch.getValue(), key.getValue());
 }
 
 }  // namespace
--- a/beamhill/ctl/http_call.cc
+++ b/beamhill/ctl/http_call.cc
@@ -20,7 +20,7 @@
                    ? ErrorCode::kUnavailable
                    : ErrorCode::kUnknownOutcome,
                "no answer from " + ToString(server),
-               "check the address and that the process is up"};
+               "check the address and that the process is running"};
 }
 
 }  // namespace beamhill
--- a/beamhill/ctl/http_call.h
+++ b/beamhill/ctl/http_call.h
@@ -1,4 +1,8 @@
-// One HTTP call at a time, waited for: for command lines, not for daemons.
+// Blocking HTTP calls for command-line tools. Daemons use HttpClient, which
+// doesn't block the event loop.
+//
+//   Result<HttpResponse> response =
+//       CallAndWait(server, {"GET", "/v1/jobs", {}, ""}, timeout);
 #ifndef BEAMHILL_CTL_HTTP_CALL_H_
 #define BEAMHILL_CTL_HTTP_CALL_H_
 
@@ -10,7 +14,9 @@
 
 namespace beamhill {
 
-// Makes the call on a loop of its own. An error when no answer came.
+// Makes the call on an event loop of its own and waits for the answer. Errors:
+//   kUnavailable: the request was not sent;
+//   kUnknownOutcome: the request was sent, but no answer arrived.
 Result<HttpResponse> CallAndWait(const Address& server, const HttpCall& call,
                                  Duration timeout);
 
