--- a/beamhill/log/log.h
+++ b/beamhill/log/log.h
@@ -16,7 +16,7 @@
 #include <variant>
 
 #include "beamhill/base/error.h"
-#include "beamhill/log/log_budget.h"
+#include "beamhill/log/log_rate_limiter.h"
 
 namespace beamhill {
 
--- a/beamhill/log/log_budget.cc
+++ b/beamhill/log/log_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "beamhill/log/log_budget.h"
+#include "beamhill/log/log_rate_limiter.h"
 
 #include <algorithm>
 #include <chrono>
--- a/beamhill/log/log_budget.h
+++ b/beamhill/log/log_rate_limiter.h
@@ -8,8 +8,8 @@
 //   LogBudget budget(options);
 //   if (budget.Admit("run_ended", now)) Write(line);
 //   for (auto& [event, count] : budget.TakeDropped()) ...
-#ifndef BEAMHILL_LOG_LOG_BUDGET_H_
-#define BEAMHILL_LOG_LOG_BUDGET_H_
+#ifndef BEAMHILL_LOG_LOG_RATE_LIMITER_H_
+#define BEAMHILL_LOG_LOG_RATE_LIMITER_H_
 
 #include <cstdint>
 #include <map>
@@ -61,4 +61,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_LOG_LOG_BUDGET_H_
+#endif  // BEAMHILL_LOG_LOG_RATE_LIMITER_H_
--- a/beamhill/log/log_test.cc
+++ b/beamhill/log/log_test.cc
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "beamhill/log/log_budget.h"
+#include "beamhill/log/log_rate_limiter.h"
 
 namespace beamhill {
 namespace {
