--- a/beamhill/log/log.cc
+++ b/beamhill/log/log.cc
@@ -26,46 +26,48 @@
 using Sink =
     logging::sinks::synchronous_sink<logging::sinks::text_ostream_backend>;
 
-// The size up to which a pipe takes a line whole or not at all, with its end.
-constexpr size_t kLongestLine = PIPE_BUF;
-// Texts above this are cut in a line that would be too long.
-constexpr size_t kLongestText = 600;
+// Includes the newline. Writes of up to PIPE_BUF bytes to a pipe are atomic.
+constexpr size_t kMaxLineBytes = PIPE_BUF;
+// Longer strings are truncated if their line exceeds kMaxLineBytes.
+constexpr size_t kMaxStringBytes = 600;
 
 TimePoint Now() {
   return TimePoint(std::chrono::duration_cast<Duration>(
       std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-// Writes whole lines to a descriptor without ever waiting for its reader.
+// Writes lines to a non-blocking descriptor. A line that doesn't fit into the
+// pipe is lost, which last_write_ok tells.
 class FdBackend : public logging::sinks::basic_formatted_sink_backend<char> {
  public:
   explicit FdBackend(const LogOutput& output)
-      : fd_(output.fd), budget(output.budget) {
+      : fd_(output.fd), limiter(output.rate_limit) {
     const int flags = fcntl(fd_, F_GETFL);
     fcntl(fd_, F_SETFL, flags | O_NONBLOCK);
   }
 
-  // The library fixes the name. NOLINTNEXTLINE(readability-identifier-naming)
+  // Boost.Log requires this name. NOLINTNEXTLINE(readability-identifier-naming)
   void consume(logging::record_view const&, const std::string& line) {
     const std::string bytes = line + "\n";
-    written = write(fd_, bytes.data(), bytes.size()) >= 0;
+    last_write_ok = write(fd_, bytes.data(), bytes.size()) >= 0;
   }
 
  private:
   int fd_;
 
  public:
-  LogBudget budget;
-  bool written = true;  // The last line.
+  LogRateLimiter limiter;
+  bool last_write_ok = true;
 };
 
+// The backend is null until InitLog is called with a LogOutput.
 struct LogState {
   std::string process = "beamhill";
   LogLevel level = LogLevel::kInfo;
   logging::sources::logger source;
   boost::shared_ptr<FdBackend> backend;
   TimePoint dropped_reported_at{};
-  Duration report_dropped_every{};
+  Duration dropped_report_interval{};
 };
 
 LogState& State() {
@@ -125,7 +127,7 @@
   state.level = level;
   state.backend = boost::make_shared<FdBackend>(output);
   state.dropped_reported_at = TimePoint{};
-  state.report_dropped_every = output.report_dropped_every;
+  state.dropped_report_interval = output.dropped_report_interval;
   logging::core::get()->remove_all_sinks();
   logging::core::get()->add_sink(
       boost::make_shared<logging::sinks::synchronous_sink<FdBackend>>(
@@ -133,7 +135,7 @@
 }
 
 uint64_t LogLinesDropped() {
-  return State().backend ? State().backend->budget.dropped() : 0;
+  return State().backend ? State().backend->limiter.dropped() : 0;
 }
 
 void SetLogLevel(LogLevel level) { State().level = level; }
@@ -144,7 +146,7 @@
     if (LevelName(level) == name) return level;
   }
   return Error{ErrorCode::kInvalidArgument,
-               "no such log level: " + std::string(name),
+               "unknown log level: " + std::string(name),
                "use debug, info, warning or error"};
 }
 
@@ -152,7 +154,7 @@
 
 using Line = nlohmann::ordered_json;
 
-Line Begin(LogLevel level, std::string_view event) {
+Line StartLine(LogLevel level, std::string_view event) {
   Line line;
   line["ts"] = UtcNow();
   line["level"] = LevelName(level);
@@ -161,45 +163,49 @@
   return line;
 }
 
-std::string Dump(const Line& line) {
+// Replaces invalid UTF-8, which nlohmann::json would reject.
+std::string Serialize(const Line& line) {
   return line.dump(-1, ' ', false, Line::error_handler_t::replace);
 }
 
-void CutTexts(Line& line) {
+void TruncateLongStrings(Line& line) {
   for (auto& value : line) {
     if (!value.is_string()) continue;
     const auto& text = value.get_ref<const std::string&>();
-    if (text.size() <= kLongestText) continue;
-    value = text.substr(0, kLongestText) + "... of " +
+    if (text.size() <= kMaxStringBytes) continue;
+    value = text.substr(0, kMaxStringBytes) + "... of " +
             std::to_string(text.size()) + " bytes";
   }
 }
 
+// Writes the line in at most kMaxLineBytes: first truncates its strings, and if
+// that isn't enough, keeps only the fields that identify it.
 void Write(Line line) {
-  std::string text = Dump(line);
-  if (text.size() >= kLongestLine) {
-    CutTexts(line);
-    text = Dump(line);
+  std::string text = Serialize(line);
+  if (text.size() >= kMaxLineBytes) {
+    TruncateLongStrings(line);
+    text = Serialize(line);
   }
-  if (text.size() >= kLongestLine) {
+  if (text.size() >= kMaxLineBytes) {
     Line shortened;
     for (const char* key : {"ts", "level", "process", "event", "request"}) {
       if (line.contains(key)) shortened[key] = line[key];
     }
     shortened["cut_bytes"] = text.size();
-    text = Dump(shortened);
+    text = Serialize(shortened);
   }
   BOOST_LOG(State().source) << text;
 }
 
-// Tells what was dropped, by event, if that is due.
+// Writes the number of dropped lines by event, unless none were dropped or the
+// last report was less than dropped_report_interval ago.
 void ReportDropped(TimePoint now) {
   LogState& state = State();
-  if (now - state.dropped_reported_at < state.report_dropped_every) return;
-  const LogBudget::Counts dropped = state.backend->budget.TakeDropped();
+  if (now - state.dropped_reported_at < state.dropped_report_interval) return;
+  const LogRateLimiter::Counts dropped = state.backend->limiter.TakeDropped();
   if (dropped.empty()) return;
   state.dropped_reported_at = now;
-  Line line = Begin(LogLevel::kWarning, "log_lines_dropped");
+  Line line = StartLine(LogLevel::kWarning, "log_lines_dropped");
   for (const auto& [event, count] : dropped) line[event] = count;
   Write(std::move(line));
 }
@@ -211,19 +217,19 @@
   LogState& state = State();
   if (level < state.level) return;
   if (state.backend) {
-    // Before the line is formatted, which costs more than all else here.
+    // Checked before the line is formatted, which is the most expensive step.
     const TimePoint now = Now();
-    if (!state.backend->budget.Admit(event, now)) return;
+    if (!state.backend->limiter.Admit(event, now)) return;
     ReportDropped(now);
   }
-  Line line = Begin(level, event);
+  Line line = StartLine(level, event);
   for (const LogField& field : fields) {
     std::visit([&](const auto& value) { line[std::string(field.key)] = value; },
                field.value);
   }
   Write(std::move(line));
-  if (state.backend && !state.backend->written) {
-    state.backend->budget.NoteDropped(event);
+  if (state.backend && !state.backend->last_write_ok) {
+    state.backend->limiter.CountDropped(event);
   }
 }
 
--- a/beamhill/log/log.h
+++ b/beamhill/log/log.h
@@ -1,7 +1,8 @@
-// Log lines as JSON objects, one a line, on standard error, by Boost.Log.
+// Structured logging: one JSON object per line, written through Boost.Log.
 //
-// Every line has ts (UTC), level, process and event; the other fields use the
-// same names everywhere: request, job, task, cell, epoch, vm, entry, error.
+// Every line has the fields ts (UTC), level, process and event. Other fields
+// have the same names in all processes: request, job, task, cell, epoch, vm,
+// entry, error.
 //
 //   InitLog("entry-1", LogLevel::kInfo);
 //   Log(LogLevel::kInfo, "cell_taken", {{"cell", cell}, {"epoch", epoch}});
@@ -22,6 +23,7 @@
 
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 
+// A named value of a log line. The key must outlive the call of Log.
 struct LogField {
   LogField(std::string_view k, std::string_view v)
       : key(k), value(std::string(v)) {}
@@ -38,25 +40,33 @@
   std::variant<std::string, int64_t, double, bool> value;
 };
 
+// Logs to standard error without a rate limit. `process` is the value of the
+// field of that name.
 void InitLog(std::string_view process, LogLevel level);
 
-// Where lines go and how many. Lines beyond the budget, and lines that the
-// reader of the pipe has left no room for, are dropped and counted by event; a
-// line `log_lines_dropped` tells of them. Lines are at
-// most 4 KiB: a pipe takes those whole or not at all. Longer texts are cut.
+// Where log lines go and how many are written. A line is dropped when it
+// exceeds the rate limit or when the pipe is full because its reader is too
+// slow. Dropped lines are counted by event and reported in lines of the event
+// `log_lines_dropped`, at most once per `dropped_report_interval`. Lines are at
+// most 4 KiB long, since writes of that size to a pipe are atomic; the strings
+// of longer lines are truncated.
 struct LogOutput {
   int fd = 2;
-  LogBudgetOptions budget;
-  Duration report_dropped_every = std::chrono::seconds(1);
+  LogRateLimiterOptions rate_limit;
+  Duration dropped_report_interval = std::chrono::seconds(1);
 };
-// Never blocks: the descriptor is made non-blocking.
+// Logs to `output`. Makes its descriptor non-blocking, so that Log never
+// blocks.
 void InitLog(std::string_view process, LogLevel level, const LogOutput& output);
-// Lines dropped since the start.
+// Returns the number of lines dropped since the last InitLog; 0 without a rate
+// limit.
 uint64_t LogLinesDropped();
-// May be called at any time.
+// Changes the level of all later lines.
 void SetLogLevel(LogLevel level);
+// Parses "debug", "info", "warning" or "error".
 Result<LogLevel> ParseLogLevel(std::string_view name);
 
+// Writes a line unless `level` is below the current level.
 void Log(LogLevel level, std::string_view event,
          std::initializer_list<LogField> fields = {});
 
--- a/beamhill/log/log_rate_limiter.cc
+++ b/beamhill/log/log_rate_limiter.cc
@@ -6,37 +6,41 @@
 
 namespace beamhill {
 
-bool LogBudget::Bucket::Take(double per_second, double burst, TimePoint now) {
-  const std::chrono::duration<double> passed = now - refilled_at;
+bool LogRateLimiter::TokenBucket::Take(double per_second, double burst,
+                                       TimePoint now) {
+  const std::chrono::duration<double> elapsed = now - refilled_at;
   refilled_at = now;
-  tokens = std::min(burst, tokens + passed.count() * per_second);
+  tokens = std::min(burst, tokens + elapsed.count() * per_second);
   if (tokens < 1) return false;
   tokens -= 1;
   return true;
 }
 
-LogBudget::LogBudget(const LogBudgetOptions& options) : options_(options) {}
+LogRateLimiter::LogRateLimiter(const LogRateLimiterOptions& options)
+    : options_(options) {}
 
-bool LogBudget::Admit(std::string_view event, TimePoint now) {
-  auto own = own_.find(event);
-  if (own == own_.end()) {
-    const Bucket full{options_.own_burst, now};
-    own = own_.emplace(std::string(event), full).first;
+bool LogRateLimiter::Admit(std::string_view event, TimePoint now) {
+  auto bucket = by_event_.find(event);
+  if (bucket == by_event_.end()) {
+    const TokenBucket full{options_.per_event_burst, now};
+    bucket = by_event_.emplace(std::string(event), full).first;
   }
-  if (own->second.Take(options_.own_per_second, options_.own_burst, now) ||
-      shared_.Take(options_.shared_per_second, options_.shared_burst, now)) {
+  if (bucket->second.Take(options_.per_event_lines_per_second,
+                          options_.per_event_burst, now) ||
+      shared_.Take(options_.shared_lines_per_second, options_.shared_burst,
+                   now)) {
     return true;
   }
-  NoteDropped(event);
+  CountDropped(event);
   return false;
 }
 
-void LogBudget::NoteDropped(std::string_view event) {
+void LogRateLimiter::CountDropped(std::string_view event) {
   ++dropped_;
   ++dropped_by_event_[std::string(event)];
 }
 
-LogBudget::Counts LogBudget::TakeDropped() {
+LogRateLimiter::Counts LogRateLimiter::TakeDropped() {
   return std::exchange(dropped_by_event_, {});
 }
 
--- a/beamhill/log/log_test.cc
+++ b/beamhill/log/log_test.cc
@@ -1,4 +1,4 @@
-// Which lines are written under load, and what a line may be.
+// Tests the rate limit and the length limit of log lines.
 #include "beamhill/log/log.h"
 
 #include <fcntl.h>
@@ -15,28 +15,29 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-// Found on the large site: 10,000 lines about runs a day were dropped, and with
-// them the claims and hand-overs of the first 36 s.
-TEST(LogBudgetTest, FrequentEventsDontCrowdOutRareOnes) {
-  LogBudget budget({});
+// Guards against one limit for all events: on a large deployment, 10,000 lines
+// about runs were dropped per day, and with them those about the claims and
+// handovers of the first 36 s.
+TEST(LogRateLimiterTest, FrequentEventsDontSuppressRareOnes) {
+  LogRateLimiter limiter({});
   int admitted = 0;
   for (int i = 0; i < 5000; ++i) {
-    admitted += static_cast<int>(budget.Admit("run_ended", kStart));
+    admitted += static_cast<int>(limiter.Admit("run_ended", kStart));
   }
   EXPECT_EQ(admitted, 40 + 900);
-  EXPECT_TRUE(budget.Admit("ownership_taken", kStart));
-  EXPECT_EQ(budget.dropped(), 5000U - 940);
-  EXPECT_EQ(budget.TakeDropped(),
-            (LogBudget::Counts{{"run_ended", 5000 - 940}}));
-  EXPECT_TRUE(budget.TakeDropped().empty());
+  EXPECT_TRUE(limiter.Admit("ownership_taken", kStart));
+  EXPECT_EQ(limiter.dropped(), 5000U - 940);
+  EXPECT_EQ(limiter.TakeDropped(),
+            (LogRateLimiter::Counts{{"run_ended", 5000 - 940}}));
+  EXPECT_TRUE(limiter.TakeDropped().empty());
 }
 
-TEST(LogBudgetTest, LinesOfASecondAreBounded) {
-  LogBudget budget({});
+TEST(LogRateLimiterTest, LimitsLinesPerSecond) {
+  LogRateLimiter limiter({});
   const auto flood = [&](TimePoint now) {
     int admitted = 0;
     for (int i = 0; i < 3000; ++i) {
-      admitted += static_cast<int>(budget.Admit("run_ended", now));
+      admitted += static_cast<int>(limiter.Admit("run_ended", now));
     }
     return admitted;
   };
@@ -50,7 +51,7 @@
     EXPECT_EQ(pipe(pipe_), 0);
     LogOutput output;
     output.fd = pipe_[1];
-    output.report_dropped_every = Duration(0);
+    output.dropped_report_interval = Duration(0);
     InitLog("p", LogLevel::kInfo, output);
   }
   ~LogLinesTest() override {
@@ -61,7 +62,8 @@
   LogLinesTest(const LogLinesTest&) = delete;
   LogLinesTest& operator=(const LogLinesTest&) = delete;
 
-  std::string Written() {
+  // Returns up to 64 KiB written to the pipe since the last call.
+  std::string ReadPipe() {
     std::string bytes(1 << 16, '\0');
     const ssize_t size = read(pipe_[0], bytes.data(), bytes.size());
     bytes.resize(size < 0 ? 0 : static_cast<size_t>(size));
@@ -72,10 +74,10 @@
   int pipe_[2] = {-1, -1};
 };
 
-TEST_F(LogLinesTest, LongLinesAreCutAndStayJson) {
+TEST_F(LogLinesTest, LongLinesAreTruncatedAndStayJson) {
   Log(LogLevel::kInfo, "long",
       {{"request", "a1"}, {"detail", std::string(9000, 'x')}, {"n", 3}});
-  const std::string line = Written();
+  const std::string line = ReadPipe();
   EXPECT_LE(line.size(), 4096U);
   const auto parsed = nlohmann::json::parse(line, nullptr, false);
   ASSERT_FALSE(parsed.is_discarded());
@@ -83,12 +85,11 @@
   EXPECT_EQ(parsed["n"], 3);
 }
 
-// More lines at once than the budget lets through.
-TEST_F(LogLinesTest, TellsWhatWasDropped) {
+TEST_F(LogLinesTest, ReportsDroppedLines) {
   for (int i = 0; i < 1500; ++i) Log(LogLevel::kInfo, "often");
-  Written();
+  ReadPipe();
   Log(LogLevel::kInfo, "rare");
-  std::istringstream lines(Written());
+  std::istringstream lines(ReadPipe());
   std::string line;
   uint64_t reported = 0;
   while (std::getline(lines, line)) {
