--- a/beamhill/base/error.cc
+++ b/beamhill/base/error.cc
@@ -29,7 +29,7 @@
 
 void CheckInvariant(bool holds, std::string_view text) {
   if (holds) return;
-  std::fprintf(stderr, "broken invariant: %.*s\n",
+  std::fprintf(stderr, "invariant violated: %.*s\n",
                static_cast<int>(text.size()), text.data());
   std::abort();
 }
--- a/beamhill/base/error.h
+++ b/beamhill/base/error.h
@@ -1,7 +1,7 @@
-// Outcomes as values.
+// Error handling by return values.
 //
 // Every operation that can fail returns a Result<T>, a std::variant of the
-// value and an Error. A broken invariant, and nothing else, ends the process.
+// value and an Error. Only a violated invariant terminates the process.
 //
 //   Result<int> port = ParsePort(text);
 //   if (!IsOk(port)) return ErrorOf(port);
@@ -16,29 +16,29 @@
 
 namespace beamhill {
 
-// What kind of failure an Error is. Callers branch on this, never on text.
+// The category of an Error. Callers branch on it, never on the message.
 enum class ErrorCode {
-  kInvalidArgument,    // The input is wrong whatever the system's state.
-  kNotFound,           // The named thing does not exist.
-  kConflict,           // A precondition on a version did not hold.
-  kResourceExhausted,  // A budget, quota or limit is used up.
-  kUnavailable,        // Not done now; trying later may work.
-  kUnknownOutcome,     // It may or may not have been done.
-  kPermissionDenied,   // A key or token is wrong.
-  kInternal,           // The other side broke its contract.
+  kInvalidArgument,    // The input is invalid in any state of the system.
+  kNotFound,           // The requested object does not exist.
+  kConflict,           // A precondition on a version was not met.
+  kResourceExhausted,  // A budget, quota or limit is exhausted.
+  kUnavailable,        // Not done; a later retry may succeed.
+  kUnknownOutcome,     // The operation may or may not have taken effect.
+  kPermissionDenied,   // A key or token is invalid.
+  kInternal,           // The peer violated its contract.
 };
 
-// The name of a code in the form that logs and JSON answers use.
+// Returns the name of a code as logs and JSON responses contain it.
 std::string_view ErrorCodeName(ErrorCode code);
 
-// A failure: its kind, what happened, and what the reader can do about it.
+// A failure: its category, what happened, and what the user can do about it.
 struct Error {
   ErrorCode code = ErrorCode::kInternal;
   std::string message;
   std::string action;
 };
 
-// The value of an operation that yields nothing but its success.
+// The value of an operation that returns nothing on success.
 struct Ok {};
 
 template <typename T>
@@ -71,7 +71,7 @@
   return std::get<1>(result);
 }
 
-// Ends the process with the text when `holds` is false. For invariants only.
+// Prints the text and aborts the process if `holds` is false.
 void CheckInvariant(bool holds, std::string_view text);
 
 }  // namespace beamhill
--- a/beamhill/base/lifetime.h
+++ b/beamhill/base/lifetime.h
@@ -1,7 +1,8 @@
-// Callbacks that do nothing once the object that made them is gone.
+// Prevents callbacks from running after the object that they refer to has been
+// destroyed.
 //
 //   class Store {
-//     Lifetime lifetime_;   // Declared last, so that it ends first.
+//     Lifetime lifetime_;  // Declared last, so that it is destroyed first.
 //     void Poll() {
 //       table_.read(keys, lifetime_.Guard([this](auto rows) { ... }));
 //     }
@@ -14,13 +15,16 @@
 
 namespace beamhill {
 
+// Not thread-safe: the guarded callbacks must run on the thread that destroys
+// this object.
 class Lifetime {
  public:
   Lifetime() : alive_(std::make_shared<char>()) {}
   Lifetime(const Lifetime&) = delete;
   Lifetime& operator=(const Lifetime&) = delete;
 
-  // A callable of one argument that passes it on while this object lives.
+  // Returns a callable of one argument that calls `callback` with it, or does
+  // nothing if this object has been destroyed.
   template <typename F>
   auto Guard(F callback) const {
     return [alive = std::weak_ptr<char>(alive_),
--- a/beamhill/base/random.h
+++ b/beamhill/base/random.h
@@ -1,5 +1,8 @@
-// Seeds from the operating system, for what must differ between runs of a
-// process: incarnations, jitter. Decisions under test take a random hook.
+// Random seeds for values that must differ each time a process starts, such as
+// incarnations and jitter. Code whose decisions are tested takes a random
+// source as a hook instead.
+//
+//   std::mt19937_64 random(RandomSeed());
 #ifndef BEAMHILL_BASE_RANDOM_H_
 #define BEAMHILL_BASE_RANDOM_H_
 
@@ -7,6 +10,7 @@
 
 namespace beamhill {
 
+// Returns 64 bits from the operating system.
 uint64_t RandomSeed();
 
 }  // namespace beamhill
--- a/beamhill/base/stop_sequence.cc
+++ b/beamhill/base/stop_sequence.cc
@@ -7,11 +7,12 @@
 }
 
 bool StopSequence::MayExit(TimePoint now, size_t open_requests,
-                           bool released) const {
-  const Duration waited = now - began_;
-  if (waited >= options_.grace - options_.exit_margin) return true;
-  const bool quiet = now - active_at_ >= options_.quiet;
-  return released && open_requests == 0 && quiet && MayRefuseConnections(now);
+                           bool work_released) const {
+  const Duration elapsed = now - began_;
+  if (elapsed >= options_.grace - options_.exit_margin) return true;
+  const bool idle = now - active_at_ >= options_.quiet_period;
+  return work_released && open_requests == 0 && idle &&
+         MayRefuseConnections(now);
 }
 
 }  // namespace beamhill
--- a/beamhill/base/stop_sequence.h
+++ b/beamhill/base/stop_sequence.h
@@ -1,12 +1,13 @@
-// When a process that was told to stop may exit without cutting off a request.
+// Decides when a process that was told to stop may exit without losing a
+// request.
 //
-// Pure. The balancer goes on sending connections until it has noticed that
-// the process isn't ready, and an answer that was handed to the event loop is
-// on its way only some loop turns later.
+// The load balancer keeps sending connections until it notices that the process
+// isn't ready any more, and the event loop sends an answer only some iterations
+// after it was handed over. Reads no clock: the caller passes the time.
 //
 //   StopSequence stop({grace}, now);
-//   stop.OnActivity(now);                  // a request came or was answered
-//   if (stop.MayExit(now, open_requests, work_given_up)) loop.Stop();
+//   stop.OnActivity(now);  // A request was received or answered.
+//   if (stop.MayExit(now, open_requests, work_released)) loop.Stop();
 #ifndef BEAMHILL_BASE_STOP_SEQUENCE_H_
 #define BEAMHILL_BASE_STOP_SEQUENCE_H_
 
@@ -17,30 +18,34 @@
 namespace beamhill {
 
 struct StopSequenceOptions {
-  // What the platform gives a process between the signal and its kill.
+  // Time that the platform leaves a process between SIGTERM and SIGKILL.
   Duration grace{};
-  // Kept of it for the exit itself.
+  // Part of `grace` that is reserved for the exit itself.
   Duration exit_margin = std::chrono::milliseconds(700);
-  // The balancer asks each second, and believes two misses.
+  // Time until the load balancer sends no more connections. It checks readiness
+  // every second and deregisters a process after two failed checks.
   Duration deregistration_delay = std::chrono::milliseconds(3100);
-  // Answers that were written last are on their way after so long, also on a
-  // VM with an eighth of a core.
-  Duration quiet = std::chrono::milliseconds(300);
+  // Time without activity after which the last answers have been sent, even on
+  // a VM with an eighth of a core.
+  Duration quiet_period = std::chrono::milliseconds(300);
 };
 
 class StopSequence {
  public:
+  // `began` is the time of the stop signal.
   StopSequence(const StopSequenceOptions& options, TimePoint began)
       : options_(options), began_(began), active_at_(began) {}
 
-  // A request was taken or answered.
+  // To be called when a request is received or answered.
   void OnActivity(TimePoint now) { active_at_ = now; }
 
-  // Whether the balancer has had time to send callers elsewhere, so that new
-  // connections need not be taken any more.
+  // Returns whether the load balancer has had time to deregister the process,
+  // so that new connections may be refused.
   bool MayRefuseConnections(TimePoint now) const;
-  // `released`: what the process owned is given up.
-  bool MayExit(TimePoint now, size_t open_requests, bool released) const;
+  // Returns whether the process may exit: either `grace` less its margin is
+  // over, or it may refuse connections, has no open requests and no recent
+  // activity, and has released the work that it owned.
+  bool MayExit(TimePoint now, size_t open_requests, bool work_released) const;
 
  private:
   StopSequenceOptions options_;
--- a/beamhill/base/time.h
+++ b/beamhill/base/time.h
@@ -1,8 +1,8 @@
-// The one clock of the system, and its types.
+// The clock that all components use, with its time and duration types.
 //
-// All leases are counted on a clock that keeps running while a VM is
-// suspended (CLOCK_BOOTTIME), so that a holder that wakes from a suspend sees
-// its lease as expired. Wall-clock time is used for log lines only.
+// Leases are measured on CLOCK_BOOTTIME, which keeps running while a VM is
+// suspended, so that a lease holder finds its lease expired after a suspend.
+// Wall-clock time is used for log lines only.
 //
 //   const TimePoint sent = BootClock::now();
 //   const Duration waited = BootClock::now() - sent;
@@ -13,13 +13,13 @@
 
 namespace beamhill {
 
-// Satisfies the standard's Clock requirements. Microsecond resolution.
+// CLOCK_BOOTTIME in microseconds. Meets the C++ named requirement Clock.
 struct BootClock {
   using rep = std::chrono::microseconds::rep;
   using period = std::chrono::microseconds::period;
   using duration = std::chrono::microseconds;
   using time_point = std::chrono::time_point<BootClock>;
-  // Named by the standard. NOLINTNEXTLINE(readability-identifier-naming)
+  // Required by Clock. NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 
   static time_point now() noexcept;
@@ -28,7 +28,7 @@
 using TimePoint = BootClock::time_point;
 using Duration = BootClock::duration;
 
-// Whole and fractional milliseconds, for logs, dumps and metrics.
+// Returns milliseconds with their fraction, for logs, state dumps and metrics.
 inline double ToMillis(Duration d) {
   return static_cast<double>(d.count()) / 1000.0;
 }
--- a/beamhill/event/event_loop.cc
+++ b/beamhill/event/event_loop.cc
@@ -26,7 +26,7 @@
   }
 
   static void Fire(evutil_socket_t, short, void* arg) {
-    // A copy, since the callback may destroy its own timer.
+    // Copied, since the callback may destroy its own timer.
     const std::function<void()> run = static_cast<State*>(arg)->callback;
     run();
   }
@@ -41,12 +41,13 @@
 void Timer::Cancel() { state_.reset(); }
 
 Result<std::unique_ptr<EventLoop>> EventLoop::Create() {
-  // A write to a socket whose peer has closed is an error value, not a signal.
+  // A write to a socket that the peer has closed must return an error instead
+  // of raising a signal.
   signal(SIGPIPE, SIG_IGN);
   event_base* base = event_base_new();
   if (base == nullptr) {
     return Error{ErrorCode::kInternal, "cannot create an event loop",
-                 "check the limit on open files"};
+                 "check the limit of open files (ulimit -n)"};
   }
   return std::unique_ptr<EventLoop>(new EventLoop(base));
 }
--- a/beamhill/event/event_loop.h
+++ b/beamhill/event/event_loop.h
@@ -1,4 +1,4 @@
-// One libevent loop on one thread, with RAII timers and signal handlers.
+// A single-threaded libevent loop with RAII timers and signal handlers.
 //
 //   Result<std::unique_ptr<EventLoop>> loop = EventLoop::Create();
 //   Timer tick = ValueOf(loop)->Every(std::chrono::seconds(1), [] { ... });
@@ -27,16 +27,18 @@
   Timer& operator=(Timer&& other) noexcept;
   ~Timer();
 
-  // Disarms. Safe to call from inside the timer's own callback.
+  // Disarms the timer. May be called from its own callback.
   void Cancel();
 
  private:
   std::unique_ptr<State> state_;
 };
 
+// Runs callbacks on the thread that calls Run. Must outlive its timers.
 class EventLoop {
  public:
-  // Makes the whole process ignore SIGPIPE.
+  // Creates a loop and makes the whole process ignore SIGPIPE, so that a write
+  // to a closed socket returns an error. Fails with kInternal if libevent does.
   static Result<std::unique_ptr<EventLoop>> Create();
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
@@ -52,10 +54,10 @@
 
   // Runs until Stop is called.
   void Run();
-  // Makes Run return after the callbacks that are already active.
+  // Makes Run return after the callback that is running.
   void Stop();
 
-  // The libevent base, for the adaptors of other libraries.
+  // The libevent base, for libraries that integrate with libevent.
   event_base* base() const { return base_; }
 
  private:
--- a/beamhill/metrics/metrics.cc
+++ b/beamhill/metrics/metrics.cc
@@ -9,10 +9,11 @@
 namespace bh = boost::histogram;
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
 
-constexpr unsigned kBuckets = 60;
-constexpr double kLowestSeconds = 1e-4;
-constexpr double kHighestSeconds = 100;
+constexpr unsigned kBucketCount = 60;
+constexpr double kMinSeconds = 1e-4;
+constexpr double kMaxSeconds = 100;
 
+// Returns the labels, and `extra` if it isn't empty, as {key="value",...}.
 std::string LabelText(const MetricLabels& labels, const std::string& extra) {
   std::string text;
   for (const auto& [key, value] : labels) {
@@ -26,8 +27,8 @@
 
 struct LatencyHistogram::Impl {
   decltype(bh::make_histogram(
-      LogAxis(kBuckets, kLowestSeconds, kHighestSeconds))) histogram =
-      bh::make_histogram(LogAxis(kBuckets, kLowestSeconds, kHighestSeconds));
+      LogAxis(kBucketCount, kMinSeconds, kMaxSeconds))) histogram =
+      bh::make_histogram(LogAxis(kBucketCount, kMinSeconds, kMaxSeconds));
   uint64_t count = 0;
   double sum_seconds = 0;
 };
@@ -45,17 +46,18 @@
 uint64_t LatencyHistogram::count() const { return impl_->count; }
 
 Duration LatencyHistogram::Quantile(double q) const {
-  const double wanted = q * static_cast<double>(impl_->count);
-  double seen = 0;
+  const double rank = q * static_cast<double>(impl_->count);
+  double cumulative_count = 0;
   for (const auto& bin : bh::indexed(impl_->histogram, bh::coverage::all)) {
-    seen += *bin;
-    if (seen < wanted || *bin == 0) continue;
+    cumulative_count += *bin;
+    if (cumulative_count < rank || *bin == 0) continue;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-        std::min(bin.bin().upper(), kHighestSeconds)));
+        std::min(bin.bin().upper(), kMaxSeconds)));
   }
   return Duration(0);
 }
 
+// Exactly one of `counter`, `gauge` and `latency` is set.
 struct Metrics::Entry {
   std::string name;
   std::string help;
@@ -120,14 +122,14 @@
           << entry->gauge() << "\n";
     } else {
       const LatencyHistogram::Impl& h = *entry->latency->impl_;
-      double seen = 0;
+      double cumulative_count = 0;
       for (const auto& bin : bh::indexed(h.histogram, bh::coverage::all)) {
-        seen += *bin;
-        if (*bin == 0 || bin.bin().upper() > kHighestSeconds) continue;
+        cumulative_count += *bin;
+        if (*bin == 0 || bin.bin().upper() > kMaxSeconds) continue;
         out << entry->name << "_bucket"
             << LabelText(entry->labels,
                          "le=\"" + std::to_string(bin.bin().upper()) + "\"")
-            << " " << static_cast<uint64_t>(seen) << "\n";
+            << " " << static_cast<uint64_t>(cumulative_count) << "\n";
       }
       out << entry->name << "_bucket" << LabelText(entry->labels, "le=\"+Inf\"")
           << " " << h.count << "\n"
--- a/beamhill/metrics/metrics.h
+++ b/beamhill/metrics/metrics.h
@@ -1,5 +1,5 @@
-// Counters, gauges and Boost.Histogram latency histograms of one process, in
-// Prometheus text form.
+// The metrics of a process: counters, gauges and latency histograms, exported
+// in the Prometheus text format. Not thread-safe.
 //
 //   Metrics metrics;
 //   Counter& ran = metrics.AddCounter("beamhill_requests_total",
@@ -21,6 +21,7 @@
 
 namespace beamhill {
 
+// Pairs of label name and value.
 using MetricLabels = std::vector<std::pair<std::string, std::string>>;
 
 class Counter {
@@ -32,7 +33,8 @@
   uint64_t value_ = 0;
 };
 
-// Latencies from 100 us to 100 s in buckets of equal width on a log scale.
+// Counts latencies from 100 us to 100 s in 60 buckets of equal width on a
+// logarithmic scale, and smaller and larger ones in a bucket each.
 class LatencyHistogram {
  public:
   LatencyHistogram();
@@ -40,7 +42,8 @@
 
   void Record(Duration latency);
   uint64_t count() const;
-  // The upper edge of the bucket that holds the quantile; 0 when empty.
+  // Returns the upper bound of the bucket that contains the quantile `q`, which
+  // is from 0 to 1, but at most 100 s. Returns 0 if the histogram is empty.
   Duration Quantile(double q) const;
 
  private:
@@ -49,20 +52,24 @@
   std::unique_ptr<Impl> impl_;
 };
 
+// The registry that owns all metrics of a process.
 class Metrics {
  public:
   Metrics();
   ~Metrics();
 
-  // References stay valid as long as the registry.
+  // These add a metric. Metrics with the same name and different labels must be
+  // added one after the other, since Prometheus expects them as one group. The
+  // returned references are valid as long as this object.
   Counter& AddCounter(const std::string& name, const std::string& help,
                       MetricLabels labels = {});
-  // `read` is called at each scrape.
+  // `read` is called by ToPrometheus.
   void AddGauge(const std::string& name, const std::string& help,
                 std::function<double()> read, MetricLabels labels = {});
   LatencyHistogram& AddLatency(const std::string& name, const std::string& help,
                                MetricLabels labels = {});
 
+  // Returns all metrics in the Prometheus text format.
   std::string ToPrometheus() const;
 
  private:
