--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -355,11 +355,11 @@
   settings.cell = config.Text("cell", settings.hall);
   settings.entries = config.IpList("entries");
   settings.shared_key = config.Text("shared_key");
-  settings.operators = config.Ip("listen.operators");
+  settings.operators = config.SocketAddress("listen.operators");
   settings.operators_token = config.Text("operators_token");
   settings.has_worker = config.Has("worker");
   if (settings.has_worker) {
-    settings.platform = config.Ip("worker.platform");
+    settings.platform = config.SocketAddress("worker.platform");
     settings.capacity.cpu_millis =
         config.Int("worker.cpu_millis", 1, 1'000'000);
     settings.capacity.memory_mib =
@@ -370,7 +370,7 @@
   settings.has_runner = config.Has("runner");
   if (settings.has_runner) {
     settings.runner.service = config.Text("runner.service");
-    settings.runner.runner = config.Ip("runner.address");
+    settings.runner.runner = config.SocketAddress("runner.address");
     settings.runner.slots =
         static_cast<uint32_t>(config.Int("runner.slots", 1, 1024, 8));
     settings.runner.connections =
--- a/beamhill/config/config.cc
+++ b/beamhill/config/config.cc
@@ -219,8 +219,8 @@
   return value;
 }
 
-Address Config::Ip(const std::string& key,
-                   std::optional<Address> default_value) {
+Address Config::SocketAddress(const std::string& key,
+                              std::optional<Address> default_value) {
   const auto text = impl_->Scalar(key, !default_value);
   Address value = default_value.value_or(Address{"127.0.0.1", 0});
   if (text) {
--- a/beamhill/config/config.h
+++ b/beamhill/config/config.h
@@ -51,8 +51,8 @@
                 std::optional<double> default_value = std::nullopt);
   Duration Time(const std::string& key, Duration low, Duration high,
                 std::optional<Duration> default_value = std::nullopt);
-  Address Ip(const std::string& key,
-             std::optional<Address> default_value = std::nullopt);
+  Address SocketAddress(const std::string& key,
+                        std::optional<Address> default_value = std::nullopt);
   std::vector<Address> IpList(const std::string& key);
 
   bool Has(const std::string& key) const;
--- a/beamhill/config/config_test.cc
+++ b/beamhill/config/config_test.cc
@@ -40,7 +40,7 @@
   config.Int("slots", 1, 10);
   config.Time("timeout", Duration(0), std::chrono::seconds(5));
   config.Text("name");
-  config.Ip("address");
+  config.SocketAddress("address");
   const Status status = config.Finish();
   ASSERT_FALSE(IsOk(status));
   const std::string text = ErrorOf(status).message;
--- a/beamhill/entry/entry_settings.cc
+++ b/beamhill/entry/entry_settings.cc
@@ -9,10 +9,10 @@
   EntrySettings settings;
   settings.name = config.Text("name");
   settings.region = config.Text("region");
-  settings.callers = config.Ip("listen.callers");
-  settings.operators = config.Ip("listen.operators");
-  settings.agents = config.Ip("listen.agents");
-  settings.platform = config.Ip("platform.address");
+  settings.callers = config.SocketAddress("listen.callers");
+  settings.operators = config.SocketAddress("listen.operators");
+  settings.agents = config.SocketAddress("listen.agents");
+  settings.platform = config.SocketAddress("platform.address");
   settings.platform_timeout =
       config.Time("platform.timeout", std::chrono::milliseconds(50),
                   std::chrono::minutes(1), std::chrono::seconds(2));
