--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -353,7 +353,7 @@
   settings.hall = config.Text("hall");
   settings.rack = config.Text("rack");
   settings.cell = config.Text("cell", settings.hall);
-  settings.entries = config.IpList("entries");
+  settings.entries = config.SocketAddressList("entries");
   settings.shared_key = config.Text("shared_key");
   settings.operators = config.SocketAddress("listen.operators");
   settings.operators_token = config.Text("operators_token");
--- a/beamhill/config/config.cc
+++ b/beamhill/config/config.cc
@@ -235,7 +235,7 @@
   return value;
 }
 
-std::vector<Address> Config::IpList(const std::string& key) {
+std::vector<Address> Config::SocketAddressList(const std::string& key) {
   std::vector<Address> addresses;
   const YAML::Node node = impl_->Find(key);
   if (!node.IsDefined() || !node.IsSequence() || node.size() == 0) {
--- a/beamhill/config/config.h
+++ b/beamhill/config/config.h
@@ -53,7 +53,7 @@
                 std::optional<Duration> default_value = std::nullopt);
   Address SocketAddress(const std::string& key,
                         std::optional<Address> default_value = std::nullopt);
-  std::vector<Address> IpList(const std::string& key);
+  std::vector<Address> SocketAddressList(const std::string& key);
 
   bool Has(const std::string& key) const;
   // Adds an error about a key, for constraints that the caller checks.
--- a/beamhill/config/config_test.cc
+++ b/beamhill/config/config_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(config.Time("runner.timeout", std::chrono::milliseconds(1),
                         std::chrono::seconds(5)),
             std::chrono::seconds(2));
-  EXPECT_EQ(config.IpList("entries").size(), 2U);
+  EXPECT_EQ(config.SocketAddressList("entries").size(), 2U);
   EXPECT_TRUE(IsOk(config.Finish()));
   EXPECT_EQ(config.effective().at("runner.connections"), "64");
 }
