--- a/beamhill/base/stop_sequence.h
+++ b/beamhill/base/stop_sequence.h
@@ -32,7 +32,7 @@
 
 class StopSequence {
  public:
-  // `began` is the time of the stop signal.
+  // `began` is the time at which the process was told to stop.
   StopSequence(const StopSequenceOptions& options, TimePoint began)
       : options_(options), began_(began), active_at_(began) {}
 
--- a/beamhill/config/config.h
+++ b/beamhill/config/config.h
@@ -59,7 +59,7 @@
   // Adds an error about a key, for constraints that the caller checks.
   void AddError(const std::string& key, const std::string& text);
 
-  // Returns one error that lists all errors so far, one per line, and all keys
+  // Returns one error that lists, one per line, all errors so far and all keys
   // of the file that were never read.
   Status Finish();
 
--- a/beamhill/log/log.h
+++ b/beamhill/log/log.h
@@ -23,7 +23,8 @@
 
 enum class LogLevel : uint8_t { kDebug, kInfo, kWarning, kError };
 
-// A named value of a log line. The key must outlive the call of Log.
+// A named value of a log line. The text of the key isn't copied, so it must
+// outlive the call of Log.
 struct LogField {
   LogField(std::string_view k, std::string_view v)
       : key(k), value(std::string(v)) {}
