--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -187,7 +187,7 @@
   settings_revision_ = settings.revision;
   in_force_.clear();
   for (const auto& [key, value] : settings.values) in_force_[key] = value;
-  const auto level = ParseLogLevel(SettingText(in_force_, "log.level"));
+  const auto level = ParseLogLevel(SettingString(in_force_, "log.level"));
   if (IsOk(level)) SetLogLevel(ValueOf(level));
   Log(LogLevel::kInfo, "settings_in_force", {{"revision", settings_revision_}});
 }
@@ -257,7 +257,7 @@
   ended_ += report.ended;
   latency_sum_ += report.latency * report.ended;
   if (now < last_latency_ + kLatencyPeriod) return;
-  const Duration target = SettingTime(in_force_, "latency.target");
+  const Duration target = SettingDuration(in_force_, "latency.target");
   if (ended_ > 0) {
     core_->OnServiceLatency(latency_sum_ / ended_, target, now);
   } else if (report.in_progress == 0) {
@@ -276,7 +276,7 @@
   Log(LogLevel::kInfo, "leaving");
   StopSequenceOptions options;
   options.grace = kLongestLeave;
-  options.linger = kLeaveLinger;
+  options.deregistration_delay = kLeaveLinger;
   stop_ = StopSequence(options, BootClock::now());
   if (gate_) gate_->Leave();
   ReportRunner(true);
@@ -353,13 +353,13 @@
   settings.hall = config.Text("hall");
   settings.rack = config.Text("rack");
   settings.cell = config.Text("cell", settings.hall);
-  settings.entries = config.IpList("entries");
+  settings.entries = config.SocketAddressList("entries");
   settings.shared_key = config.Text("shared_key");
-  settings.operators = config.Ip("listen.operators");
+  settings.operators = config.SocketAddress("listen.operators");
   settings.operators_token = config.Text("operators_token");
   settings.has_worker = config.Has("worker");
   if (settings.has_worker) {
-    settings.platform = config.Ip("worker.platform");
+    settings.platform = config.SocketAddress("worker.platform");
     settings.capacity.cpu_millis =
         config.Int("worker.cpu_millis", 1, 1'000'000);
     settings.capacity.memory_mib =
@@ -370,7 +370,7 @@
   settings.has_runner = config.Has("runner");
   if (settings.has_runner) {
     settings.runner.service = config.Text("runner.service");
-    settings.runner.runner = config.Ip("runner.address");
+    settings.runner.runner = config.SocketAddress("runner.address");
     settings.runner.slots =
         static_cast<uint32_t>(config.Int("runner.slots", 1, 1024, 8));
     settings.runner.connections =
--- a/beamhill/config/config.cc
+++ b/beamhill/config/config.cc
@@ -37,7 +37,7 @@
 
 Result<Duration> ParseDuration(const std::string& text) {
   const Error error{ErrorCode::kInvalidArgument,
-                    "not a duration: '" + text + "'",
+                    "invalid duration: '" + text + "'",
                     "write a whole number and ms, s, min or h, such as 250ms"};
   const size_t unit_at = text.find_first_not_of("0123456789");
   if (unit_at == std::string::npos || unit_at == 0) return error;
@@ -53,8 +53,8 @@
 
 Result<Address> ParseAddress(const std::string& text) {
   const Error error{ErrorCode::kInvalidArgument,
-                    "not an address: '" + text + "'",
-                    "write an IPv4 number and a port, such as 10.0.0.7:7000"};
+                    "invalid address: '" + text + "'",
+                    "write an IPv4 address and a port, such as 10.0.0.7:7000"};
   const size_t colon = text.find(':');
   if (colon == std::string::npos) return error;
   const std::string ip = text.substr(0, colon);
@@ -72,9 +72,11 @@
   std::string file;
   YAML::Node root;
   std::map<std::string, std::string> effective;
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   std::set<std::string> known;
 
+  // Returns the node at `key`, which may be undefined, and marks the key as
+  // known.
   YAML::Node Find(const std::string& key) {
     known.insert(key);
     YAML::Node node = YAML::Clone(root);
@@ -88,29 +90,33 @@
     return node;
   }
 
-  void Fault(const std::string& key, const YAML::Node& node,
-             const std::string& text) {
+  // Adds an error with the line of `node`, or without one if it is undefined.
+  void AddError(const std::string& key, const YAML::Node& node,
+                const std::string& text) {
     const int line = node.IsDefined() ? node.Mark().line + 1 : 0;
     const std::string where =
         line > 0 ? file + ":" + std::to_string(line) : file;
-    faults.push_back(where + ": " + key + ": " + text);
+    errors.push_back(where + ": " + key + ": " + text);
   }
 
-  // The scalar's text, or nothing after noting a fault or for a default.
+  // Returns the text of the scalar at `key`. Returns nothing if the key is
+  // missing, or after adding an error.
   std::optional<std::string> Scalar(const std::string& key, bool required) {
     const YAML::Node node = Find(key);
     if (!node.IsDefined()) {
-      if (required) Fault(key, node, "missing");
+      if (required) AddError(key, node, "missing");
       return std::nullopt;
     }
     if (!node.IsScalar()) {
-      Fault(key, node, "must be a single value");
+      AddError(key, node, "must be a scalar, not a list or a map");
       return std::nullopt;
     }
     return node.Scalar();
   }
 
-  void FindUnknown(const YAML::Node& node, const std::string& prefix) {
+  // Adds an error for each key at or below `node` that was never read. A map is
+  // known if a key below it was read.
+  void FindUnknownKeys(const YAML::Node& node, const std::string& prefix) {
     for (const auto& child : node) {
       const std::string key = prefix.empty()
                                   ? child.first.Scalar()
@@ -120,9 +126,9 @@
       const bool is_prefix = below != known.end() &&
                              below->compare(0, key.size() + 1, key + ".") == 0;
       if (is_prefix && child.second.IsMap()) {
-        FindUnknown(child.second, key);
+        FindUnknownKeys(child.second, key);
       } else {
-        Fault(key, child.first, "unknown key");
+        AddError(key, child.first, "unknown key");
       }
     }
   }
@@ -135,10 +141,11 @@
     impl->root = YAML::LoadFile(file);
   } catch (const YAML::Exception& e) {
     return Error{ErrorCode::kInvalidArgument, file + ": " + e.what(),
-                 "correct the file"};
+                 "check that the file exists and is valid YAML"};
   }
   if (!impl->root.IsMap()) {
-    return Error{ErrorCode::kInvalidArgument, file + ": not a map of settings",
+    return Error{ErrorCode::kInvalidArgument,
+                 file + ": the top level must be a map of settings",
                  "see the files under examples/"};
   }
   return Config(std::move(impl));
@@ -164,8 +171,8 @@
   if (text) {
     const auto parsed = ParseNumber<int64_t>(*text);
     if (!parsed || *parsed < low || *parsed > high) {
-      Fault(key, "'" + *text + "' is not a whole number from " +
-                     std::to_string(low) + " to " + std::to_string(high));
+      AddError(key, "'" + *text + "' is not a whole number from " +
+                        std::to_string(low) + " to " + std::to_string(high));
     } else {
       value = *parsed;
     }
@@ -181,17 +188,17 @@
   if (text) {
     const auto parsed = ParseNumber<double>(*text);
     if (!parsed || !(*parsed >= low && *parsed <= high)) {
-      std::ostringstream fault;
-      fault << "'" << *text << "' is not a number from " << low << " to "
-            << high;
-      Fault(key, fault.str());
+      std::ostringstream message;
+      message << "'" << *text << "' is not a number from " << low << " to "
+              << high;
+      AddError(key, message.str());
     } else {
       value = *parsed;
     }
   }
-  std::ostringstream shown;
-  shown << value;
-  impl_->effective[key] = shown.str();
+  std::ostringstream formatted;
+  formatted << value;
+  impl_->effective[key] = formatted.str();
   return value;
 }
 
@@ -202,8 +209,8 @@
   if (text) {
     const Result<Duration> parsed = ParseDuration(*text);
     if (!IsOk(parsed) || ValueOf(parsed) < low || ValueOf(parsed) > high) {
-      Fault(key, "'" + *text + "' is not a duration from " + DurationText(low) +
-                     " to " + DurationText(high));
+      AddError(key, "'" + *text + "' is not a duration from " +
+                        DurationText(low) + " to " + DurationText(high));
     } else {
       value = ValueOf(parsed);
     }
@@ -212,8 +219,8 @@
   return value;
 }
 
-Address Config::Ip(const std::string& key,
-                   std::optional<Address> default_value) {
+Address Config::SocketAddress(const std::string& key,
+                              std::optional<Address> default_value) {
   const auto text = impl_->Scalar(key, !default_value);
   Address value = default_value.value_or(Address{"127.0.0.1", 0});
   if (text) {
@@ -221,18 +228,18 @@
     if (IsOk(parsed)) {
       value = ValueOf(parsed);
     } else {
-      Fault(key, ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
+      AddError(key, ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
     }
   }
   impl_->effective[key] = ToString(value);
   return value;
 }
 
-std::vector<Address> Config::IpList(const std::string& key) {
+std::vector<Address> Config::SocketAddressList(const std::string& key) {
   std::vector<Address> addresses;
   const YAML::Node node = impl_->Find(key);
   if (!node.IsDefined() || !node.IsSequence() || node.size() == 0) {
-    Fault(key, "must be a list of addresses, such as [10.0.0.7:7000]");
+    AddError(key, "must be a list of addresses, such as [10.0.0.7:7000]");
     return addresses;
   }
   std::string all;
@@ -240,8 +247,8 @@
     const Result<Address> parsed =
         ParseAddress(item.IsScalar() ? item.Scalar() : "");
     if (!IsOk(parsed)) {
-      impl_->Fault(key, item,
-                   ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
+      impl_->AddError(key, item,
+                      ErrorOf(parsed).message + "; " + ErrorOf(parsed).action);
       continue;
     }
     addresses.push_back(ValueOf(parsed));
@@ -255,17 +262,17 @@
   return impl_->Find(key).IsDefined();
 }
 
-void Config::Fault(const std::string& key, const std::string& text) {
-  impl_->Fault(key, impl_->Find(key), text);
+void Config::AddError(const std::string& key, const std::string& text) {
+  impl_->AddError(key, impl_->Find(key), text);
 }
 
 Status Config::Finish() {
-  impl_->FindUnknown(impl_->root, "");
-  if (impl_->faults.empty()) return Ok{};
+  impl_->FindUnknownKeys(impl_->root, "");
+  if (impl_->errors.empty()) return Ok{};
   std::string all;
-  for (const std::string& fault : impl_->faults) all += fault + "\n";
+  for (const std::string& error : impl_->errors) all += error + "\n";
   return Error{ErrorCode::kInvalidArgument, all,
-               "correct the settings; --check validates them without a start"};
+               "correct the settings; --check validates them without starting"};
 }
 
 const std::map<std::string, std::string>& Config::effective() const {
--- a/beamhill/config/config_test.cc
+++ b/beamhill/config/config_test.cc
@@ -28,19 +28,19 @@
   EXPECT_EQ(config.Time("runner.timeout", std::chrono::milliseconds(1),
                         std::chrono::seconds(5)),
             std::chrono::seconds(2));
-  EXPECT_EQ(config.IpList("entries").size(), 2U);
+  EXPECT_EQ(config.SocketAddressList("entries").size(), 2U);
   EXPECT_TRUE(IsOk(config.Finish()));
   EXPECT_EQ(config.effective().at("runner.connections"), "64");
 }
 
-TEST(Config, NamesEveryFaultWithLineKeyAndRange) {
+TEST(Config, ReportsEveryErrorWithLineKeyAndRange) {
   Result<Config> loaded = Config::Load(
       WriteFile("slots: many\ntimeout: -2s\nnmae: x\naddress: nowhere\n"));
   Config& config = ValueOf(loaded);
   config.Int("slots", 1, 10);
   config.Time("timeout", Duration(0), std::chrono::seconds(5));
   config.Text("name");
-  config.Ip("address");
+  config.SocketAddress("address");
   const Status status = config.Finish();
   ASSERT_FALSE(IsOk(status));
   const std::string text = ErrorOf(status).message;
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(Config, NamesTheLineOfBrokenYaml) {
+TEST(Config, ReportsTheLineOfMalformedYaml) {
   const Result<Config> loaded = Config::Load(WriteFile("a: [1\nb: 2\n"));
   ASSERT_FALSE(IsOk(loaded));
   EXPECT_NE(ErrorOf(loaded).message.find("line"), std::string::npos);
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -136,7 +136,7 @@
         static_cast<double>(SettingInt(*values, "weights.evictions"))};
   };
   options.owner.latency_target = [values] {
-    return SettingTime(*values, "latency.target");
+    return SettingDuration(*values, "latency.target");
   };
   options.entry = settings_.name;
   options.incarnation = incarnation_;
@@ -237,7 +237,7 @@
        settings_store_.tree().EffectiveValues("estate/" + settings_.region)) {
     values[key] = value;
   }
-  const auto level = ParseLogLevel(SettingText(values, "log.level"));
+  const auto level = ParseLogLevel(SettingString(values, "log.level"));
   if (IsOk(level)) SetLogLevel(ValueOf(level));
   router_.OnSettings(values);
   RefreshHallSettings();
--- a/beamhill/entry/entry_settings.cc
+++ b/beamhill/entry/entry_settings.cc
@@ -9,10 +9,10 @@
   EntrySettings settings;
   settings.name = config.Text("name");
   settings.region = config.Text("region");
-  settings.callers = config.Ip("listen.callers");
-  settings.operators = config.Ip("listen.operators");
-  settings.agents = config.Ip("listen.agents");
-  settings.platform = config.Ip("platform.address");
+  settings.callers = config.SocketAddress("listen.callers");
+  settings.operators = config.SocketAddress("listen.operators");
+  settings.agents = config.SocketAddress("listen.agents");
+  settings.platform = config.SocketAddress("platform.address");
   settings.platform_timeout =
       config.Time("platform.timeout", std::chrono::milliseconds(50),
                   std::chrono::minutes(1), std::chrono::seconds(2));
@@ -28,7 +28,7 @@
       config.Time("cell.snapshot_interval", std::chrono::milliseconds(500),
                   std::chrono::minutes(10), settings.cell.snapshot_interval);
   if (settings.cell.ownership_term < 2 * settings.cell.agent_term) {
-    config.Fault("cell.ownership_term",
+    config.AddError("cell.ownership_term",
                  "must be at least twice cell.agent_term");
   }
   const Status status = config.Finish();
--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -370,7 +370,7 @@
 }
 
 void RequestRouter::OnSettings(const SettingValues& values) {
-  max_deadline_ = SettingTime(values, "requests.deadline");
+  max_deadline_ = SettingDuration(values, "requests.deadline");
   retry_budget_.set_percent(SettingInt(values, "requests.retry_percent"));
 }
 
