--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -155,7 +155,8 @@
 void RequestRouter::StartKeyed(uint64_t id) {
   Pending& pending = *pending_.at(id);
   const std::string& key = pending.start.idempotency_key;
-  auto keepers = runners_.Keepers(pending.start.service, key, BootClock::now());
+  auto keepers =
+      runners_.KeyReplicas(pending.start.service, key, BootClock::now());
   if (keepers.empty()) {
     return FinishNotRun(id, "no runner remembers keys for long enough yet");
   }
--- a/beamhill/routing/runner_table.cc
+++ b/beamhill/routing/runner_table.cc
@@ -118,7 +118,7 @@
   return *stalest;
 }
 
-std::vector<std::string> RunnerTable::Keepers(const std::string& service,
+std::vector<std::string> RunnerTable::KeyReplicas(const std::string& service,
                                               const std::string& key,
                                               TimePoint now) const {
   TimePoint oldest = now;
--- a/beamhill/routing/runner_table.h
+++ b/beamhill/routing/runner_table.h
@@ -49,7 +49,7 @@
   // halls if there are such; the first runs it. The same for every entry that
   // knows the same runners, and one of the two stays when one runner goes or
   // joins. An agent that has started lately is no keeper yet, unless all have.
-  std::vector<std::string> Keepers(const std::string& service,
+  std::vector<std::string> KeyReplicas(const std::string& service,
                                    const std::string& key, TimePoint now) const;
 
   void OnSent(const std::string& vm);
--- a/beamhill/routing/runner_table_test.cc
+++ b/beamhill/routing/runner_table_test.cc
@@ -70,10 +70,10 @@
 TEST_F(RunnerTableTest, OneKeeperStaysWhenARunnerGoesOrJoins) {
   for (int i = 0; i < 100; ++i) {
     const std::string key = "key-" + std::to_string(i);
-    const auto before = table_.Keepers("svc", key, kNow);
+    const auto before = table_.KeyReplicas("svc", key, kNow);
     ASSERT_EQ(before.size(), 2U);
     const auto shares = [&](const RunnerTable& changed) {
-      const auto after = changed.Keepers("svc", key, kNow);
+      const auto after = changed.KeyReplicas("svc", key, kNow);
       return std::any_of(after.begin(), after.end(), [&](const auto& vm) {
         return std::find(before.begin(), before.end(), vm) != before.end();
       });
@@ -97,7 +97,7 @@
   halls.OnLinkUp("c", "svc", 2, "west", old);
   halls.OnLinkUp("new", "svc", 2, "north", kNow);
   for (int i = 0; i < 50; ++i) {
-    const auto keepers = halls.Keepers("svc", std::to_string(i), kNow);
+    const auto keepers = halls.KeyReplicas("svc", std::to_string(i), kNow);
     ASSERT_EQ(keepers.size(), 2U);
     EXPECT_NE(keepers[0] == "c", keepers[1] == "c");
   }
