--- a/beamhill/cell/cell_host_test.cc
+++ b/beamhill/cell/cell_host_test.cc
@@ -130,8 +130,8 @@
   Link("vm-4");
   Pass(seconds(5), 1);
   ASSERT_TRUE(host_->owns());
-  const std::set<std::string> unaccounted = {"vm-1", "vm-3", "vm-4"};
-  EXPECT_EQ(host_->owner()->unaccounted(), unaccounted);
+  const std::set<std::string> unreconciled = {"vm-1", "vm-3", "vm-4"};
+  EXPECT_EQ(host_->owner()->unreconciled(), unreconciled);
 }
 
 // The entry left while its claim was on its way. The claim took effect, and the
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -180,7 +180,7 @@
   const CellOwnerCounts& counts() const { return counts_; }
   const std::map<std::string, RangeLedger>& ranges() const { return ranges_; }
   // VMs of the inherited roster that still block unknown tasks.
-  const std::set<std::string>& unaccounted() const { return unaccounted_; }
+  const std::set<std::string>& unreconciled() const { return unaccounted_; }
   std::vector<VmView> Vms() const;
   const WorkerHealth& health() const { return health_; }
   // Jobs that no VM of the cell could ever hold a task of.
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -338,7 +338,7 @@
       item["done"] = owner->counts().done;
       item["evicted"] = owner->counts().evicted;
       item["lost"] = owner->counts().lost;
-      item["unaccounted_vms"] = owner->unaccounted();
+      item["unaccounted_vms"] = owner->unreconciled();
       for (const auto& [job, ledger] : owner->ranges()) {
         item["ranges"].push_back({{"job", job},
                                   {"tasks", ledger.range().size()},
