--- a/beamhill/routing/retry_budget.h
+++ b/beamhill/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// A budget of retries as a share of requests, so that retries can't multiply
-// an overload.
+// Limits retries to a percentage of requests, so that retries can't amplify an
+// overload.
 //
 //   RetryBudget budget(/*percent=*/20);
 //   budget.OnRequest();
@@ -17,21 +17,25 @@
   explicit RetryBudget(int64_t percent) : percent_(percent) {}
 
   void set_percent(int64_t percent) { percent_ = percent; }
+  // Counts a first attempt, which earns a share of a retry.
   void OnRequest() {
-    hundredths_ = std::min(hundredths_ + percent_, kMaxRetries * 100);
+    hundredths_of_retry_ =
+        std::min(hundredths_of_retry_ + percent_, kMaxSavedRetries * 100);
   }
+  // Takes one retry out of the budget; returns false if there is none left.
   bool TakeRetry() {
-    if (hundredths_ < 100) return false;
-    hundredths_ -= 100;
+    if (hundredths_of_retry_ < 100) return false;
+    hundredths_of_retry_ -= 100;
     return true;
   }
 
  private:
-  // Retries that may be saved up in quiet times.
-  static constexpr int64_t kMaxRetries = 20;
+  // The retries that can accumulate unused.
+  static constexpr int64_t kMaxSavedRetries = 20;
 
   int64_t percent_;
-  int64_t hundredths_ = kMaxRetries * 100;
+  // The budget left, in hundredths of a retry.
+  int64_t hundredths_of_retry_ = kMaxSavedRetries * 100;
 };
 
 }  // namespace beamhill
--- a/beamhill/routing/runner_table.cc
+++ b/beamhill/routing/runner_table.cc
@@ -7,17 +7,21 @@
 namespace beamhill {
 namespace {
 
-constexpr double kLatencyWeight = 0.1;  // Of a new sample in the average.
-constexpr double kFailureWeight = 0.1;
-constexpr double kEjectAbove = 0.5;
-constexpr uint32_t kSamplesToEject = 10;
+// Weights of a new sample in the moving averages.
+constexpr double kLatencySmoothing = 0.1;
+constexpr double kFailureSmoothing = 0.1;
+// A runner is ejected above this share of failures, once it has ended enough
+// requests for the share to mean anything.
+constexpr double kEjectionFailureShare = 0.5;
+constexpr uint32_t kMinSamplesToEject = 10;
 constexpr Duration kFirstEjection = std::chrono::seconds(2);
 constexpr Duration kMaxEjection = std::chrono::minutes(1);
 
-// How long agents remember keys, and how far apart agents that are started
-// together may be up.
-constexpr Duration kKeyMemory = std::chrono::minutes(10);
-constexpr Duration kStartedTogether = std::chrono::minutes(1);
+// How long agents record idempotency keys.
+constexpr Duration kKeyRetention = std::chrono::minutes(10);
+// Agents that start within this time of their service's first one are treated
+// as started together.
+constexpr Duration kStartupSkew = std::chrono::minutes(1);
 
 uint32_t Sha1Word(const std::string& text) {
   boost::uuids::detail::sha1 hash;
@@ -34,11 +38,11 @@
 
 void RunnerTable::OnLinkUp(const std::string& vm, const std::string& service,
                            uint32_t slots, const std::string& hall,
-                           TimePoint remembers_since) {
+                           TimePoint keys_since) {
   Runner runner;
   runner.service = service;
   runner.hall = hall;
-  runner.remembers_since = remembers_since;
+  runner.keys_since = keys_since;
   runner.limit = slots;
   runners_[vm] = runner;
 }
@@ -53,8 +57,9 @@
   runner.limit = report.limit;
   runner.leaving = report.leaving;
   runner.reported_at = now;
-  runner.others =
-      report.in_progress > runner.own ? report.in_progress - runner.own : 0;
+  runner.other_in_progress = report.in_progress > runner.sent_in_progress
+                                 ? report.in_progress - runner.sent_in_progress
+                                 : 0;
 }
 
 void RunnerTable::OnListed(const std::string& vm, bool leaving) {
@@ -66,13 +71,13 @@
   return runner.leaving || runner.listed_leaving;
 }
 
-uint32_t RunnerTable::Expected(const Runner& runner) {
-  return runner.own + runner.others;
+uint32_t RunnerTable::ExpectedInProgress(const Runner& runner) {
+  return runner.sent_in_progress + runner.other_in_progress;
 }
 
-// Waiting grows with the share of the limit in use and the runner's latency.
-double RunnerTable::Cost(const Runner& runner) const {
-  const double load = static_cast<double>(Expected(runner) + 1) /
+// The wait grows with the share of the limit in use and with the latency.
+double RunnerTable::RelativeWait(const Runner& runner) const {
+  const double load = static_cast<double>(ExpectedInProgress(runner) + 1) /
                       static_cast<double>(std::max(1U, runner.limit));
   return load * static_cast<double>(runner.latency.count() + 1);
 }
@@ -84,23 +89,24 @@
   for (const auto& [vm, runner] : runners_) {
     if (runner.service != service || IsLeaving(runner)) continue;
     if (excluded.count(vm) > 0 || now < runner.ejected_until) continue;
-    if (Expected(runner) >= runner.limit) continue;
+    if (ExpectedInProgress(runner) >= runner.limit) continue;
     usable.emplace_back(&vm, &runner);
   }
-  if (usable.empty()) return PickStalest(service, excluded, now);
-  const auto draw = [&] {
+  if (usable.empty()) return PickLeastRecentlyReported(service, excluded, now);
+  const auto pick_random = [&] {
     return static_cast<size_t>(random_() * static_cast<double>(usable.size()));
   };
-  const auto& first = usable[draw()];
-  const auto& second = usable[draw()];
-  return Cost(*first.second) <= Cost(*second.second) ? *first.first
-                                                     : *second.first;
+  const auto& first = usable[pick_random()];
+  const auto& second = usable[pick_random()];
+  return RelativeWait(*first.second) <= RelativeWait(*second.second)
+             ? *first.first
+             : *second.first;
 }
 
-// Every runner looks full, but what is known of it is some milliseconds old:
-// the one known of longest is the likeliest to have room by now. Its gate
-// decides; a refusal there is proof of not-run.
-std::optional<std::string> RunnerTable::PickStalest(
+// Reports are some milliseconds old, so that a runner may have capacity by now
+// although all seem to be at their limit, most likely the one with the oldest
+// report. Its gate enforces the limit: a request that it refuses has not run.
+std::optional<std::string> RunnerTable::PickLeastRecentlyReported(
     const std::string& service, const std::set<std::string>& excluded,
     TimePoint now) {
   const std::string* stalest = nullptr;
@@ -113,51 +119,52 @@
     oldest = runner.reported_at;
   }
   if (stalest == nullptr) return std::nullopt;
-  // Not asked again until it has reported or all others were asked.
+  // Not picked again until it has reported or all others have been picked.
   runners_.at(*stalest).reported_at = now;
   return *stalest;
 }
 
 std::vector<std::string> RunnerTable::KeyReplicas(const std::string& service,
-                                              const std::string& key,
-                                              TimePoint now) const {
+                                                  const std::string& key,
+                                                  TimePoint now) const {
   TimePoint oldest = now;
   for (const auto& [vm, runner] : runners_) {
     if (runner.service != service) continue;
-    oldest = std::min(oldest, runner.remembers_since);
+    oldest = std::min(oldest, runner.keys_since);
   }
-  const TimePoint settled =
-      std::max(now - kKeyMemory, oldest + kStartedTogether);
-  struct Keeper {
+  const TimePoint cutoff = std::max(now - kKeyRetention, oldest + kStartupSkew);
+  struct Replica {
     uint32_t score;
     const std::string* vm;
     const std::string* hall;
   };
-  std::vector<Keeper> keepers;
+  std::vector<Replica> replicas;
   for (const auto& [vm, runner] : runners_) {
-    if (runner.service != service || runner.remembers_since > settled) continue;
-    keepers.push_back({Sha1Word(vm + "\n" + key), &vm, &runner.hall});
+    if (runner.service != service || runner.keys_since > cutoff) continue;
+    replicas.push_back({Sha1Word(vm + "\n" + key), &vm, &runner.hall});
   }
-  std::sort(keepers.begin(), keepers.end(),
-            [](const Keeper& a, const Keeper& b) { return a.score > b.score; });
+  std::sort(
+      replicas.begin(), replicas.end(),
+      [](const Replica& a, const Replica& b) { return a.score > b.score; });
   std::vector<std::string> chosen;
-  if (keepers.empty()) return chosen;
-  chosen.push_back(*keepers.front().vm);
-  const auto elsewhere = std::find_if(
-      keepers.begin() + 1, keepers.end(), [&keepers](const Keeper& keeper) {
-        return *keeper.hall != *keepers.front().hall;
-      });
-  if (elsewhere != keepers.end()) {
-    chosen.push_back(*elsewhere->vm);
-  } else if (keepers.size() > 1) {
-    chosen.push_back(*keepers[1].vm);
+  if (replicas.empty()) return chosen;
+  chosen.push_back(*replicas.front().vm);
+  const auto in_other_hall =
+      std::find_if(replicas.begin() + 1, replicas.end(),
+                   [&replicas](const Replica& replica) {
+                     return *replica.hall != *replicas.front().hall;
+                   });
+  if (in_other_hall != replicas.end()) {
+    chosen.push_back(*in_other_hall->vm);
+  } else if (replicas.size() > 1) {
+    chosen.push_back(*replicas[1].vm);
   }
   return chosen;
 }
 
 void RunnerTable::OnSent(const std::string& vm) {
   const auto it = runners_.find(vm);
-  if (it != runners_.end()) ++it->second.own;
+  if (it != runners_.end()) ++it->second.sent_in_progress;
 }
 
 void RunnerTable::OnEnded(const std::string& vm, Duration latency, bool failed,
@@ -165,12 +172,12 @@
   const auto it = runners_.find(vm);
   if (it == runners_.end()) return;
   Runner& runner = it->second;
-  if (runner.own > 0) --runner.own;
+  if (runner.sent_in_progress > 0) --runner.sent_in_progress;
   ++runner.samples;
   runner.failure_share +=
-      kFailureWeight * ((failed ? 1.0 : 0.0) - runner.failure_share);
+      kFailureSmoothing * ((failed ? 1.0 : 0.0) - runner.failure_share);
   if (failed) {
-    // A fast failure must not make the runner look quick.
+    // Its latency is ignored, so that failing fast attracts no requests.
     EjectIfFailing(runner, now);
     return;
   }
@@ -178,16 +185,16 @@
   const double sample = static_cast<double>(latency.count());
   const double average = static_cast<double>(runner.latency.count());
   runner.latency = Duration(static_cast<Duration::rep>(
-      average + kLatencyWeight * (sample - average)));
+      average + kLatencySmoothing * (sample - average)));
 }
 
 void RunnerTable::OnRefused(const std::string& vm) {
   const auto it = runners_.find(vm);
   if (it == runners_.end()) return;
   Runner& runner = it->second;
-  if (runner.own > 0) --runner.own;
-  if (Expected(runner) < runner.limit) {
-    runner.others = runner.limit - runner.own;
+  if (runner.sent_in_progress > 0) --runner.sent_in_progress;
+  if (ExpectedInProgress(runner) < runner.limit) {
+    runner.other_in_progress = runner.limit - runner.sent_in_progress;
   }
 }
 
@@ -203,15 +210,15 @@
 }
 
 void RunnerTable::EjectIfFailing(Runner& runner, TimePoint now) {
-  if (runner.samples < kSamplesToEject) return;
-  if (runner.failure_share <= kEjectAbove) return;
+  if (runner.samples < kMinSamplesToEject) return;
+  if (runner.failure_share <= kEjectionFailureShare) return;
   if (!MayEject(runner.service, now)) return;
   runner.ejection = runner.ejection == Duration(0)
                         ? kFirstEjection
                         : std::min(runner.ejection * 2, kMaxEjection);
   runner.ejected_until = now + runner.ejection;
-  // A single good answer after the pause is enough to stay.
-  runner.failure_share = kEjectAbove;
+  // One success after the ejection is enough to avoid the next one.
+  runner.failure_share = kEjectionFailureShare;
 }
 
 bool RunnerTable::IsLeaving(const std::string& vm) const {
@@ -228,9 +235,9 @@
 std::vector<RunnerTable::View> RunnerTable::Views(TimePoint now) const {
   std::vector<View> views;
   for (const auto& [vm, runner] : runners_) {
-    views.push_back({vm, runner.service, runner.limit, Expected(runner),
-                     runner.latency, IsLeaving(runner),
-                     now < runner.ejected_until});
+    views.push_back({vm, runner.service, runner.limit,
+                     ExpectedInProgress(runner), runner.latency,
+                     IsLeaving(runner), now < runner.ejected_until});
   }
   return views;
 }
--- a/beamhill/routing/runner_table_test.cc
+++ b/beamhill/routing/runner_table_test.cc
@@ -28,21 +28,21 @@
   RunnerTable table_;
 };
 
-TEST_F(RunnerTableTest, NeverPicksAnotherServiceALeavingOrAnExcludedRunner) {
+TEST_F(RunnerTableTest, PicksNoRunnerOfAnotherServiceLeavingOrExcluded) {
   table_.OnLinkUp("d", "other", 8);
   table_.OnReport("a", {0, 2, 0, {}, true}, kNow);
   for (int i = 0; i < 50; ++i) EXPECT_EQ(table_.Pick("svc", {"b"}, kNow), "c");
   EXPECT_EQ(table_.Pick("none", {}, kNow), std::nullopt);
 }
 
-TEST_F(RunnerTableTest, CountsWhatItSentBesideTheReport) {
+TEST_F(RunnerTableTest, CountsItsOwnRequestsInAdditionToTheReport) {
   table_.OnReport("a", {2, 2, 0, {}, false}, kNow);
   table_.OnSent("b");
   table_.OnSent("b");
   for (int i = 0; i < 50; ++i) EXPECT_EQ(table_.Pick("svc", {}, kNow), "c");
 }
 
-TEST_F(RunnerTableTest, WhenAllLookFullAsksTheOneHeardOfLongestAgo) {
+TEST_F(RunnerTableTest, PicksOldestReportWhenAllSeemFull) {
   table_.OnReport("b", {2, 2, 0, {}, false}, kNow);
   table_.OnReport("a", {2, 2, 0, {}, false}, kNow + milliseconds(1));
   table_.OnReport("c", {2, 2, 0, {}, false}, kNow + milliseconds(2));
@@ -50,7 +50,7 @@
   EXPECT_EQ(table_.Pick("svc", {}, kNow + milliseconds(4)), "a");
 }
 
-TEST_F(RunnerTableTest, EjectsAFailingRunnerButNeverMoreThanHalf) {
+TEST_F(RunnerTableTest, EjectsFailingRunnersUpToHalfOfTheService) {
   for (const char* vm : {"a", "b", "c"}) {
     for (int i = 0; i < 30; ++i) {
       table_.OnSent(vm);
@@ -67,7 +67,7 @@
   EXPECT_EQ(ejected, 0);
 }
 
-TEST_F(RunnerTableTest, OneKeeperStaysWhenARunnerGoesOrJoins) {
+TEST_F(RunnerTableTest, OneKeyReplicaStaysWhenARunnerLeavesOrJoins) {
   for (int i = 0; i < 100; ++i) {
     const std::string key = "key-" + std::to_string(i);
     const auto before = table_.KeyReplicas("svc", key, kNow);
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_F(RunnerTableTest, KeepersAreInDifferentHallsAndNotNew) {
+TEST_F(RunnerTableTest, KeyReplicasAreInDifferentHallsAndNotRecentlyStarted) {
   RunnerTable halls([] { return 0.5; });
   const TimePoint old = kNow - std::chrono::hours(1);
   halls.OnLinkUp("a", "svc", 2, "east", old);
@@ -97,13 +97,13 @@
   halls.OnLinkUp("c", "svc", 2, "west", old);
   halls.OnLinkUp("new", "svc", 2, "north", kNow);
   for (int i = 0; i < 50; ++i) {
-    const auto keepers = halls.KeyReplicas("svc", std::to_string(i), kNow);
-    ASSERT_EQ(keepers.size(), 2U);
-    EXPECT_NE(keepers[0] == "c", keepers[1] == "c");
+    const auto replicas = halls.KeyReplicas("svc", std::to_string(i), kNow);
+    ASSERT_EQ(replicas.size(), 2U);
+    EXPECT_NE(replicas[0] == "c", replicas[1] == "c");
   }
 }
 
-TEST(RetryBudget, AllowsAShareOfRequests) {
+TEST(RetryBudget, AllowsThePercentageOfRequests) {
   RetryBudget budget(10);
   while (budget.TakeRetry()) {
   }
