--- a/beamhill/cell/rows.cc
+++ b/beamhill/cell/rows.cc
@@ -12,7 +12,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PartResult, done, failed, evictions,
                                    cancelled)
 
-// Ranges are pairs, since a snapshot holds many.
+// Ranges are written as pairs to keep snapshots short: they hold many.
 static void to_json(Json& json, const TaskRange& range) {
   json = Json::array({range.begin, range.end});
 }
@@ -81,13 +81,13 @@
     return Ok{};
   } catch (const Json::exception& e) {
     return Error{ErrorCode::kInternal,
-                 std::string("unreadable row: ") + e.what(),
-                 "check which version of beamhill wrote it"};
+                 std::string("cannot decode row: ") + e.what(),
+                 "check which version of beamhill wrote the row"};
   }
 }
 
 template <typename T>
-std::string Print(const T& row) {
+std::string Serialize(const T& row) {
   return Json(row).dump();
 }
 
@@ -109,11 +109,11 @@
   return ResultPrefix(job) + cell;
 }
 
-std::string EncodeRow(const CellRow& row) { return Print(row); }
-std::string EncodeRow(const RangeRow& row) { return Print(row); }
-std::string EncodeRow(const CellSnapshot& row) { return Print(row); }
-std::string EncodeRow(const JobRow& row) { return Print(row); }
-std::string EncodeRow(const PartResult& row) { return Print(row); }
+std::string EncodeRow(const CellRow& row) { return Serialize(row); }
+std::string EncodeRow(const RangeRow& row) { return Serialize(row); }
+std::string EncodeRow(const CellSnapshot& row) { return Serialize(row); }
+std::string EncodeRow(const JobRow& row) { return Serialize(row); }
+std::string EncodeRow(const PartResult& row) { return Serialize(row); }
 
 Status DecodeRow(const std::string& text, CellRow* row) {
   return Parse(text, row);
--- a/beamhill/cell/rows.h
+++ b/beamhill/cell/rows.h
@@ -1,5 +1,9 @@
-// The rows that coordination keeps in the platform's table: their keys, and
-// their values as JSON text that an operator can read.
+// Keys and values of the rows in the platform's table that hold jobs and cell
+// ownership. Values are JSON text, which an operator can read.
+//
+//   CellRow row;
+//   Status status = DecodeRow(text, &row);
+//   Write(CellKey("c1"), EncodeRow(row));
 #ifndef BEAMHILL_CELL_ROWS_H_
 #define BEAMHILL_CELL_ROWS_H_
 
@@ -12,19 +16,21 @@
 
 namespace beamhill {
 
-// Who owns a cell.
+// The ownership of a cell.
 struct CellRow {
-  std::string owner;  // The entry's name.
-  uint64_t incarnation = 0;
+  std::string owner;         // The entry's name.
+  uint64_t incarnation = 0;  // Of the entry process.
   uint64_t epoch = 0;
-  bool released = false;  // Given up by its owner, who no longer acts.
+  bool released = false;  // The owner released the cell and no longer acts.
 };
 
-// A job as it was accepted, and which cells run which part of it.
+// The tasks of a job that one cell runs.
 struct JobPart {
   std::string cell;
   TaskRange range;
 };
+
+// An accepted job and its division among cells.
 struct JobRow {
   JobSpec job;
   std::vector<JobPart> parts;
@@ -53,7 +59,8 @@
 std::string EncodeRow(const JobRow& row);
 std::string EncodeRow(const PartResult& row);
 
-// A row that can't be read is an error that names its key.
+// Parse a row's value into `*row`. Return kInternal for text that is not JSON
+// or lacks a field.
 Status DecodeRow(const std::string& text, CellRow* row);
 Status DecodeRow(const std::string& text, RangeRow* row);
 Status DecodeRow(const std::string& text, CellSnapshot* row);
--- a/beamhill/cell/snapshot.h
+++ b/beamhill/cell/snapshot.h
@@ -1,8 +1,13 @@
-// What a cell's owner keeps in the platform's table, as plain values.
+// The state of a cell that its owner keeps in the platform's table.
 //
-// A range row is written once when a job is accepted and once when the range
-// is finished. The snapshot row of a cell is written from time to time and
-// never once for each task.
+// A range row is written when a job is accepted, and again when it is cancelled
+// or finished. A cell's snapshot row is written periodically, not for each
+// task, so the write rate does not depend on the number of tasks.
+//
+//   CellSnapshot snapshot;
+//   snapshot.epoch = ownership.epoch;
+//   snapshot.roster = {"vm-1", "vm-2"};
+//   snapshot.ranges.push_back(ledger.Progress());
 #ifndef BEAMHILL_CELL_SNAPSHOT_H_
 #define BEAMHILL_CELL_SNAPSHOT_H_
 
@@ -14,20 +19,21 @@
 
 namespace beamhill {
 
-// The tasks of a job that a cell is to run.
+// The tasks of a job that are assigned to a cell.
 struct RangeRow {
   JobSpec job;
   TaskRange range;
   bool cancelled = false;
-  // A task below this index may have been started by an owner that has not
-  // yet written a snapshot which names the job.
+  // Tasks below this index may have been started by an owner whose durable
+  // snapshot does not contain the job yet.
   uint32_t initial_window = 0;
 };
 
+// The latest checkpoint of a task that is not finished.
 struct Checkpoint {
   uint32_t index = 0;
-  Attempt attempt;
-  std::string name;
+  Attempt attempt;   // The attempt that wrote it.
+  std::string name;  // Of the stored object.
 };
 
 struct FailureCount {
@@ -35,24 +41,24 @@
   uint32_t failures = 0;
 };
 
-// Progress of one range.
+// The durable progress of one range.
 struct RangeProgress {
   std::string job;
   std::vector<TaskRange> done;
-  std::vector<TaskRange> failed;  // Given up for good.
-  // Tasks at or above this index have never been started by anyone.
+  std::vector<TaskRange> failed;  // Failed finally; not retried.
+  // No task at or above this index has been started by any owner.
   uint32_t window = 0;
   std::vector<Checkpoint> checkpoints;
   std::vector<FailureCount> failures;
 };
 
 struct CellSnapshot {
-  // The writer's epoch and its count of snapshots tell a write whose answer
-  // was lost from others.
+  // The writer's count of its snapshots. Together with `epoch`, it identifies
+  // the snapshot of a commit whose answer was lost.
   uint64_t sequence = 0;
   uint64_t epoch = 0;
-  // Every VM that may hold a task of the cell. An owner starts nothing on a
-  // VM before a snapshot that names it is durable.
+  // Every VM that may hold a task of the cell. An owner starts no task on a VM
+  // until a snapshot with that VM in its roster is durable.
   std::vector<std::string> roster;
   std::vector<RangeProgress> ranges;
 };
