--- a/beamhill/cell/cell_host.cc
+++ b/beamhill/cell/cell_host.cc
@@ -162,7 +162,7 @@
     Ownership ownership;
     ownership.epoch = current.epoch;
     ownership.confirmed_at = sent_at;
-    ownership.taken_at = hooks_.now();
+    ownership.claimed_at = hooks_.now();
     ownership.inherited = current.epoch > 1;
     OnClaimed(row.version, ownership);
     return;
@@ -195,7 +195,7 @@
         busy_ = false;
         if (answer.result == CommitResult::kCommitted) {
           OnTableWorks();
-          ownership.taken_at = hooks_.now();
+          ownership.claimed_at = hooks_.now();
           OnClaimed(answer.versions.front(), ownership);
           return;
         }
--- a/beamhill/cell/cell_owner.cc
+++ b/beamhill/cell/cell_owner.cc
@@ -47,9 +47,9 @@
 TimePoint CellOwner::InheritedBound() const {
   if (!ownership_.inherited) return TimePoint{};
   if (ownership_.released) {
-    return ownership_.taken_at + Lengthened(options_.agent_term);
+    return ownership_.claimed_at + Lengthened(options_.agent_term);
   }
-  return ownership_.taken_at + Lengthened(options_.ownership_term);
+  return ownership_.claimed_at + Lengthened(options_.ownership_term);
 }
 
 void CellOwner::OnOwnershipConfirmed(TimePoint sent_at) {
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -88,7 +88,7 @@
   // When the confirming write or read was sent, on this process's clock.
   TimePoint confirmed_at{};
   // When the answer to the taking write came.
-  TimePoint taken_at{};
+  TimePoint claimed_at{};
   // Whether an earlier owner exists, and whether it gave the cell up itself.
   bool inherited = false;
   bool released = false;
