--- a/beamhill/cell/cell_host.cc
+++ b/beamhill/cell/cell_host.cc
@@ -6,10 +6,10 @@
 namespace beamhill {
 namespace {
 
-// Least time between two confirming reads.
-constexpr Duration kConfirmInterval = std::chrono::milliseconds(200);
-// Longer than any cell goes without an owner.
-constexpr Duration kRememberGone = std::chrono::hours(24);
+// Shortest time between two confirmation reads.
+constexpr Duration kMinConfirmInterval = std::chrono::milliseconds(200);
+// Must exceed the longest time that a cell can be without an owner.
+constexpr Duration kGoneVmRetention = std::chrono::hours(24);
 
 }  // namespace
 
@@ -21,8 +21,8 @@
 
 void CellHost::OnHello(const Hello& hello, TimePoint now) {
   agents_[hello.vm] = hello;
-  reports_.erase(hello.vm);
-  gone_.erase(hello.vm);
+  loss_reports_.erase(hello.vm);
+  gone_vms_.erase(hello.vm);
   if (owner_) owner_->OnHello(hello, now);
 }
 
@@ -30,19 +30,21 @@
   const auto it = agents_.find(vm);
   if (it == agents_.end() || !(it->second.session == session)) return;
   agents_.erase(it);
-  reports_.erase(vm);
+  loss_reports_.erase(vm);
   if (owner_) owner_->OnLinkDown(vm, session);
 }
 
 void CellHost::OnAgentMessage(const std::string& vm, const Message& message,
                               TimePoint now) {
   if (const auto* lost = std::get_if<OwnerLost>(&message)) {
-    LossReport& report = reports_[vm];
-    const bool goes_on = report.epoch == lost->epoch &&
-                         now < report.last + options_.report_fresh_for;
-    if (!goes_on) {
+    LossReport& report = loss_reports_[vm];
+    const bool continues_earlier =
+        report.epoch == lost->epoch &&
+        now < report.last + options_.loss_report_max_age;
+    if (!continues_earlier) {
       report.first = now;
-      // The row may say that the cell was released; then no one need wait.
+      // The owner may have released the cell; if so, the row shows it and
+      // there is no need to wait for further reports.
       row_read_ = false;
     }
     report.last = now;
@@ -64,15 +66,16 @@
 }
 
 void CellHost::OnVmGone(const std::string& vm, TimePoint now) {
-  for (auto it = gone_.begin(); it != gone_.end();) {
-    it = now >= it->second + kRememberGone ? gone_.erase(it) : std::next(it);
+  for (auto it = gone_vms_.begin(); it != gone_vms_.end();) {
+    it = now >= it->second + kGoneVmRetention ? gone_vms_.erase(it)
+                                              : std::next(it);
   }
-  gone_[vm] = now;
+  gone_vms_[vm] = now;
   if (owner_) owner_->OnVmGone(vm, now);
 }
 
 void CellHost::OnVmLeaving(const std::string& vm, bool leaving) {
-  gone_.erase(vm);
+  gone_vms_.erase(vm);
   if (owner_) owner_->OnVmLeaving(vm, leaving);
 }
 
@@ -89,30 +92,32 @@
 }
 
 void CellHost::BackOff(TimePoint now) {
-  retry_ = retry_ == Duration(0) ? options_.first_retry
-                                 : std::min(retry_ * 2, options_.max_retry);
+  retry_delay_ = retry_delay_ == Duration(0)
+                     ? options_.first_retry
+                     : std::min(retry_delay_ * 2, options_.max_retry);
   const double share = 0.5 + hooks_.random() / 2;
   retry_at_ = now + Duration(static_cast<Duration::rep>(
-                        static_cast<double>(retry_.count()) * share));
+                        static_cast<double>(retry_delay_.count()) * share));
 }
 
-bool CellHost::OwnerLooksLost(TimePoint now) const {
-  // A report about an earlier owner than the row's says nothing about it, until
-  // agents should have heard of the row's.
-  const bool any_epoch = now >= row_epoch_since_ + options_.unheard_for;
+bool CellHost::IsOwnerReportedLost(TimePoint now) const {
+  // A report about a predecessor says nothing about the row's owner, until that
+  // one has had time to make itself known to the agents.
+  const bool any_epoch = now >= row_epoch_since_ + options_.new_owner_grace;
   size_t reporting = 0;
-  for (const auto& [vm, report] : reports_) {
-    const bool fresh = now < report.last + options_.report_fresh_for;
-    const bool lasting = now >= report.first + options_.suspect_for;
-    const bool about_it =
+  for (const auto& [vm, report] : loss_reports_) {
+    const bool fresh = now < report.last + options_.loss_report_max_age;
+    const bool sustained =
+        now >= report.first + options_.loss_report_min_duration;
+    const bool concerns_row_owner =
         any_epoch || report.epoch >= row_epoch_ || report.epoch == 0;
-    if (fresh && lasting && about_it) ++reporting;
+    if (fresh && sustained && concerns_row_owner) ++reporting;
   }
   return reporting * 2 > agents_.size();
 }
 
-bool CellHost::WantsRow(TimePoint now) const {
-  return !row_read_ || OwnerLooksLost(now);
+bool CellHost::NeedsRowRead(TimePoint now) const {
+  return !row_read_ || IsOwnerReportedLost(now);
 }
 
 void CellHost::Tick(TimePoint now) {
@@ -120,8 +125,8 @@
     TickOwner(now);
     return;
   }
-  if (releasing_ || busy_ || agents_.empty() || now < retry_at_) return;
-  if (!WantsRow(now)) {
+  if (releasing_ || claiming_ || agents_.empty() || now < retry_at_) return;
+  if (!NeedsRowRead(now)) {
     claim_after_.reset();
     return;
   }
@@ -132,18 +137,18 @@
 }
 
 void CellHost::ReadRow() {
-  busy_ = true;
+  claiming_ = true;
   ++counts_.reads;
   const TimePoint sent_at = hooks_.now();
   table_.read({CellKey(cell())},
               lifetime_.Guard([this, sent_at](Result<std::vector<Row>> rows) {
-                busy_ = false;
+                claiming_ = false;
                 if (releasing_) return EndRelease();
                 if (!IsOk(rows)) {
                   BackOff(hooks_.now());
                   return;
                 }
-                OnTableWorks();
+                ResetBackOff();
                 OnRow(ValueOf(rows).front(), sent_at);
               }));
 }
@@ -158,7 +163,7 @@
   const bool mine = current.owner == options_.entry &&
                     current.incarnation == options_.incarnation;
   if (mine && !current.released) {
-    // A claim of ours took effect although its answer was lost.
+    // An earlier claim took effect although its answer was lost.
     Ownership ownership;
     ownership.epoch = current.epoch;
     ownership.confirmed_at = sent_at;
@@ -168,10 +173,12 @@
     return;
   }
   claimed_ = false;
-  const bool earlier_run = current.owner == options_.entry && !mine;
-  const bool is_free = row.version == 0 || current.released || earlier_run;
-  // Reports that led here may be about an owner before this row's.
-  const bool lost = !newer && OwnerLooksLost(hooks_.now());
+  const bool owned_by_earlier_run = current.owner == options_.entry && !mine;
+  const bool is_free =
+      row.version == 0 || current.released || owned_by_earlier_run;
+  // If the row names a newer owner, the loss reports may be about its
+  // predecessor.
+  const bool lost = !newer && IsOwnerReportedLost(hooks_.now());
   if (is_free || lost) Claim(row.version, current, row.version != 0);
 }
 
@@ -185,21 +192,21 @@
   ownership.confirmed_at = hooks_.now();
   ownership.inherited = exists;
   ownership.released = current.released;
-  busy_ = true;
+  claiming_ = true;
   ++counts_.row_writes;
   Transaction claim;
   claim.writes.push_back({CellKey(cell()), version, EncodeRow(mine)});
   table_.commit(
       std::move(claim),
       lifetime_.Guard([this, ownership](const CommitAnswer& answer) mutable {
-        busy_ = false;
+        claiming_ = false;
         if (answer.result == CommitResult::kCommitted) {
-          OnTableWorks();
+          ResetBackOff();
           ownership.claimed_at = hooks_.now();
           OnClaimed(answer.versions.front(), ownership);
           return;
         }
-        // Whatever happened, the row tells.
+        // The row shows whether the claim took effect.
         row_read_ = false;
         BackOff(hooks_.now());
         if (releasing_) EndRelease();
@@ -216,14 +223,14 @@
   Load(ownership);
 }
 
-// The snapshot is read after the claim, so no earlier owner can change it
-// any more: its writes check the cell's row.
+// Reads the snapshot after the claim, when no earlier owner can change it any
+// more: an owner's writes are conditional on the version of the cell's row.
 void CellHost::Load(const Ownership& ownership) {
-  busy_ = true;
+  claiming_ = true;
   counts_.reads += 2;
   const auto retry = [this] {
-    busy_ = false;
-    row_read_ = false;  // Starts over from our own row.
+    claiming_ = false;
+    row_read_ = false;  // Starts over by reading the claimed row.
     BackOff(hooks_.now());
     if (releasing_) EndRelease();
   };
@@ -236,8 +243,8 @@
                     lifetime_.Guard([this, ownership, retry, progress](
                                         Result<std::vector<Row>> ranges) {
                       if (!IsOk(ranges)) return retry();
-                      busy_ = false;
-                      OnTableWorks();
+                      claiming_ = false;
+                      ResetBackOff();
                       if (releasing_) return EndRelease();
                       OnLoaded(ownership, progress, ValueOf(ranges));
                     }));
@@ -248,7 +255,8 @@
                         const std::vector<Row>& ranges) {
   CellSnapshot snapshot;
   if (progress.version != 0 && !IsOk(DecodeRow(progress.value, &snapshot))) {
-    row_read_ = false;  // Starts over, once somebody may have mended it.
+    // Starts over after the longest delay: an operator may repair the row.
+    row_read_ = false;
     retry_at_ = hooks_.now() + options_.max_retry;
     return;
   }
@@ -262,14 +270,14 @@
     parsed.push_back(std::move(range));
   }
   confirming_ = polling_ = saving_ = false;
-  finishing_.clear();
-  finished_.clear();
-  reports_.clear();
+  finishing_ranges_.clear();
+  finished_ranges_.clear();
+  loss_reports_.clear();
   owner_ = CellOwner::Create(options_.owner, ownership, snapshot, parsed);
   for (const auto& [vm, hello] : agents_) {
     owner_->OnHello(hello, hooks_.now());
   }
-  for (const auto& [vm, since] : gone_) owner_->OnVmGone(vm, hooks_.now());
+  for (const auto& [vm, since] : gone_vms_) owner_->OnVmGone(vm, hooks_.now());
 }
 
 void CellHost::LoseOwnership() {
@@ -289,11 +297,11 @@
   if (!owner_) return;
   if (now >= last_poll_ + options_.poll_interval) Poll(now);
   if (!owner_) return;
-  for (const std::string& job : owner_->FinishedJobs()) Finish(job);
+  for (const std::string& job : owner_->FinishedJobs()) FinishRange(job);
 }
 
 void CellHost::Confirm(TimePoint now) {
-  if (confirming_ || now < last_confirm_ + kConfirmInterval) return;
+  if (confirming_ || now < last_confirm_ + kMinConfirmInterval) return;
   confirming_ = true;
   last_confirm_ = now;
   ++counts_.reads;
@@ -303,7 +311,7 @@
                 if (!owner_ || row_epoch_ != epoch) return;
                 confirming_ = false;
                 if (!IsOk(rows)) return BackOff(hooks_.now());
-                OnTableWorks();
+                ResetBackOff();
                 if (ValueOf(rows).front().version != row_version_) {
                   return LoseOwnership();
                 }
@@ -322,7 +330,7 @@
                 if (!owner_ || row_epoch_ != epoch) return;
                 polling_ = false;
                 if (!IsOk(rows)) return BackOff(hooks_.now());
-                OnTableWorks();
+                ResetBackOff();
                 ReadRanges(ValueOf(rows), now);
               }));
 }
@@ -331,14 +339,14 @@
   for (const Row& row : rows) {
     RangeRow range;
     if (!IsOk(DecodeRow(row.value, &range))) continue;
-    if (finished_.count(range.job.id) > 0) continue;
+    if (finished_ranges_.count(range.job.id) > 0) continue;
     uint64_t& known = range_versions_[range.job.id];
     if (known == row.version) continue;
     known = row.version;
     owner_->OnRange(range);
   }
-  for (auto it = finished_.begin(); it != finished_.end();) {
-    it = it->second < sent_at ? finished_.erase(it) : std::next(it);
+  for (auto it = finished_ranges_.begin(); it != finished_ranges_.end();) {
+    it = it->second < sent_at ? finished_ranges_.erase(it) : std::next(it);
   }
 }
 
@@ -359,7 +367,7 @@
                        epoch = row_epoch_](const CommitAnswer& answer) {
         if (!owner_ || row_epoch_ != epoch) return;
         if (answer.result == CommitResult::kCommitted) {
-          OnTableWorks();
+          ResetBackOff();
           saving_ = false;
           progress_version_ = answer.versions.front();
           owner_->OnSnapshotDurable(now);
@@ -375,8 +383,8 @@
       }));
 }
 
-// A conflict or a lost answer: the two rows tell whether the cell is still
-// ours and whether the snapshot took effect.
+// After a conflict or a lost answer, the cell's row shows whether the cell is
+// still owned, and the progress row whether the snapshot was written.
 void CellHost::ResolveSave(TimePoint sent_at, uint64_t sequence) {
   ++counts_.reads;
   table_.read({CellKey(cell()), ProgressKey(cell())},
@@ -388,7 +396,7 @@
                   owner_->OnSnapshotFailed();
                   return BackOff(hooks_.now());
                 }
-                OnTableWorks();
+                ResetBackOff();
                 if (ValueOf(rows)[0].version != row_version_) {
                   return LoseOwnership();
                 }
@@ -407,18 +415,18 @@
               }));
 }
 
-void CellHost::OnFinished(const std::string& job) {
+void CellHost::OnRangeFinished(const std::string& job) {
   owner_->ForgetRange(job);
   range_versions_.erase(job);
-  finished_[job] = hooks_.now();
+  finished_ranges_[job] = hooks_.now();
 }
 
-void CellHost::Finish(const std::string& job) {
+void CellHost::FinishRange(const std::string& job) {
   const auto ledger = owner_->ranges().find(job);
   const auto version = range_versions_.find(job);
   if (ledger == owner_->ranges().end()) return;
   if (version == range_versions_.end()) return;
-  if (!finishing_.insert(job).second) return;
+  if (!finishing_ranges_.insert(job).second) return;
   PartResult result;
   result.done = ledger->second.done();
   result.failed = ledger->second.failed();
@@ -434,9 +442,9 @@
       std::move(transaction), lifetime_.Guard([this, job, epoch = row_epoch_](
                                                   const CommitAnswer& answer) {
         if (!owner_ || row_epoch_ != epoch) return;
-        finishing_.erase(job);
+        finishing_ranges_.erase(job);
         if (answer.result == CommitResult::kCommitted) {
-          OnFinished(job);
+          OnRangeFinished(job);
           return;
         }
         BackOff(hooks_.now());
@@ -446,7 +454,7 @@
                     lifetime_.Guard([this, job](Result<std::vector<Row>> rows) {
                       if (!owner_ || !IsOk(rows)) return;
                       if (ValueOf(rows).front().version == 0) return;
-                      OnFinished(job);
+                      OnRangeFinished(job);
                     }));
       }));
 }
@@ -454,10 +462,10 @@
 void CellHost::Release(std::function<void()> done) {
   releasing_ = true;
   release_done_ = std::move(done);
-  if (busy_) return;
+  if (claiming_) return;
   if (owner_) {
-    // From here on nothing is granted or started, so the next owner need not
-    // wait for this one's authority to run out.
+    // No lease is granted and no task started from here on, so the next owner
+    // need not wait for this owner's term to end.
     owner_->OnOwnershipLost();
     owner_.reset();
   }
--- a/beamhill/cell/cell_host_test.cc
+++ b/beamhill/cell/cell_host_test.cc
@@ -17,7 +17,7 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr Duration kTick = std::chrono::milliseconds(100);
 
-// One entry's host of the cell "c", with the table and agents played.
+// A CellHost of cell "c" with a fake table. The test acts as the agents.
 class CellHostTest : public testing::Test {
  protected:
   CellHostTest() {
@@ -34,18 +34,19 @@
                                                  const CommitDone& done) {
       commit(std::move(transaction), [this, done](const CommitAnswer& answer) {
         if (!hold_commits_) return done(answer);
-        held_.emplace_back([done, answer] { done(answer); });
+        held_answers_.emplace_back([done, answer] { done(answer); });
       });
     };
     host_ = std::make_unique<CellHost>(options, table, hooks);
   }
 
+  // Delivers the answers of the commits held so far, and holds no more.
   void AnswerCommits() {
     hold_commits_ = false;
-    for (const auto& answer : std::exchange(held_, {})) answer();
+    for (const auto& answer : std::exchange(held_answers_, {})) answer();
   }
 
-  void Link(const std::string& vm) {
+  void LinkAgent(const std::string& vm) {
     Hello hello;
     hello.vm = vm;
     hello.cell = "c";
@@ -54,13 +55,14 @@
     host_->OnHello(hello, now_);
   }
 
+  // Writes the row unconditionally and returns its version.
   uint64_t Write(const std::string& key, const std::string& value) {
     Transaction write;
     write.writes.push_back({key, kAnyVersion, value});
     return table_.model().Commit(write).versions.front();
   }
 
-  void OwnRow(const std::string& owner, uint64_t epoch) {
+  void WriteCellRow(const std::string& owner, uint64_t epoch) {
     CellRow row;
     row.owner = owner;
     row.incarnation = 1;
@@ -68,15 +70,16 @@
     Write(CellKey("c"), EncodeRow(row));
   }
 
-  CellRow OwnRow() {
+  CellRow ReadCellRow() {
     CellRow row;
     EXPECT_TRUE(
         IsOk(DecodeRow(table_.model().Read({CellKey("c")})[0].value, &row)));
     return row;
   }
 
-  // Agents that report the owner of `epoch` as lost do so each second.
-  void Pass(Duration length, std::optional<uint64_t> lost_epoch = {}) {
+  // Advances the time by `length` and ticks the host. With `lost_epoch`, all
+  // agents report the owner of that epoch as lost once a second.
+  void RunFor(Duration length, std::optional<uint64_t> lost_epoch = {}) {
     for (const TimePoint end = now_ + length; now_ < end; now_ += kTick) {
       if (lost_epoch && now_ >= next_report_) {
         next_report_ = now_ + seconds(1);
@@ -93,97 +96,99 @@
   TimePoint next_report_{};
   FaultyTable table_;
   bool hold_commits_ = false;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> held_answers_;
   std::unique_ptr<CellHost> host_;
 };
 
-// An entry took the cell and was gone before it had spoken to any agent. Their
-// reports named the owner before it, were held against nobody, and the cell
-// stood still for good.
-TEST_F(CellHostTest, CellIsTakenFromAnOwnerThatNoAgentHasHeardOf) {
-  OwnRow("gone", 2);
-  Link("vm-1");
-  Link("vm-2");
-  Pass(seconds(5), 1);
-  EXPECT_FALSE(host_->owns()) << "an owner that still loads is left alone";
-  Pass(seconds(10), 1);
+// Guards against a cell that stays without a live owner: an entry claims the
+// cell and crashes before any agent hears from it. The agents' loss reports
+// name its predecessor and must count against it after a grace period.
+TEST_F(CellHostTest, ClaimsCellWhoseOwnerCrashedBeforeContactingAgents) {
+  WriteCellRow("gone", 2);
+  LinkAgent("vm-1");
+  LinkAgent("vm-2");
+  RunFor(seconds(5), 1);
+  EXPECT_FALSE(host_->owns())
+      << "a new owner that is still loading must not be replaced";
+  RunFor(seconds(10), 1);
   EXPECT_TRUE(host_->owns());
-  EXPECT_EQ(OwnRow().epoch, 3U);
+  EXPECT_EQ(ReadCellRow().epoch, 3U);
   EXPECT_EQ(host_->counts().takeovers, 1U);
 }
 
-// A VM and its cell's owner were lost together. The list dropped the VM before
-// the next owner had loaded, which was not told, so that the VM's work waited
-// for the end of leases that nobody held: 20 minutes.
-TEST_F(CellHostTest, VmThatTheListDroppedBeforeTheOwnerLoadedBlocksNothing) {
+// A VM and its cell's owner are lost together, and the platform's list drops
+// the VM before the next owner has loaded. An owner that isn't told of this
+// delays the VM's tasks until the inherited lease bound, 20 minutes later.
+TEST_F(CellHostTest, VmRemovedBeforeTheOwnerLoadedNeedsNoReconciliation) {
   CellSnapshot snapshot;
   snapshot.epoch = 1;
   snapshot.roster = {"vm-1", "vm-2", "vm-3", "vm-4"};
   Write(ProgressKey("c"), EncodeRow(snapshot));
-  OwnRow("gone", 1);
-  Link("vm-1");
+  WriteCellRow("gone", 1);
+  LinkAgent("vm-1");
   host_->OnVmGone("vm-2", now_);
-  // The list shows it again, and one says Hello: these two are not gone.
+  // The next two VMs return, one to the list and one with a Hello.
   host_->OnVmGone("vm-3", now_);
   host_->OnVmLeaving("vm-3", false);
   host_->OnVmGone("vm-4", now_);
-  Link("vm-4");
-  Pass(seconds(5), 1);
+  LinkAgent("vm-4");
+  RunFor(seconds(5), 1);
   ASSERT_TRUE(host_->owns());
   const std::set<std::string> unreconciled = {"vm-1", "vm-3", "vm-4"};
   EXPECT_EQ(host_->owner()->unreconciled(), unreconciled);
 }
 
-// The entry left while its claim was on its way. The claim took effect, and the
-// cell belonged to an entry that was gone.
-TEST_F(CellHostTest, ClaimThatIsAnsweredAfterTheReleaseIsGivenUp) {
-  Link("vm-1");
+// An entry shuts down while its claim is in progress. If the claim then takes
+// effect without being released, the cell belongs to a process that has exited.
+TEST_F(CellHostTest, ReleasesCellWhoseClaimIsAnsweredAfterRelease) {
+  LinkAgent("vm-1");
   hold_commits_ = true;
-  Pass(kTick);
-  ASSERT_EQ(OwnRow().owner, "here");
+  RunFor(kTick);
+  ASSERT_EQ(ReadCellRow().owner, "here");
   int released = 0;
   host_->Release([&released] { ++released; });
-  Pass(seconds(1));
-  EXPECT_EQ(released, 0) << "the claim may take effect yet";
+  RunFor(seconds(1));
+  EXPECT_EQ(released, 0) << "the claim may still take effect";
   AnswerCommits();
-  Pass(seconds(1));
+  RunFor(seconds(1));
   EXPECT_FALSE(host_->owns());
-  EXPECT_TRUE(OwnRow().released);
+  EXPECT_TRUE(ReadCellRow().released);
   EXPECT_EQ(released, 1);
 }
 
-// As above, while what the cell's last owner left could not be read.
-TEST_F(CellHostTest, CellThatWasNotLoadedYetIsGivenUpToo) {
-  Link("vm-1");
+// As above, with a claimed cell whose snapshot can't be read yet.
+TEST_F(CellHostTest, ReleasesCellThatIsNotLoadedYet) {
+  LinkAgent("vm-1");
   hold_commits_ = true;
-  Pass(kTick);
+  RunFor(kTick);
   table_.set_fault(TableFault::kDown);
   AnswerCommits();
-  Pass(kTick);
+  RunFor(kTick);
   table_.set_fault(TableFault::kNone);
   ASSERT_FALSE(host_->owns());
   int released = 0;
   host_->Release([&released] { ++released; });
-  Pass(seconds(1));
-  EXPECT_TRUE(OwnRow().released);
+  RunFor(seconds(1));
+  EXPECT_TRUE(ReadCellRow().released);
   EXPECT_EQ(released, 1);
 }
 
-// The progress could not be read when the cell was taken. The host never tried
-// again, and kept the cell without doing anything for it.
-TEST_F(CellHostTest, ProgressThatCannotBeReadIsReadAgain) {
+// A progress row that can't be decoded when the cell is claimed must be read
+// again. Otherwise the host keeps the cell without scheduling it.
+TEST_F(CellHostTest, RetriesProgressRowThatCannotBeDecoded) {
   Write(ProgressKey("c"), "torn");
-  Link("vm-1");
-  Pass(seconds(5));
+  LinkAgent("vm-1");
+  RunFor(seconds(5));
   EXPECT_FALSE(host_->owns());
-  EXPECT_LE(host_->counts().reads, 3U) << "one try for now";
+  EXPECT_LE(host_->counts().reads, 3U) << "retries must wait";
   Write(ProgressKey("c"), EncodeRow(CellSnapshot{}));
-  Pass(seconds(30));
+  RunFor(seconds(30));
   EXPECT_TRUE(host_->owns());
 }
 
-// A job was cancelled while the table did not answer its cell's owner.
-TEST_F(CellHostTest, CancellationThatTheTableTellsLateStopsWhatRuns) {
+// A job is cancelled while the table doesn't answer the cell's owner, for
+// longer than the owner's term.
+TEST_F(CellHostTest, CancellationReadAfterTableOutageStopsRunningTask) {
   RangeRow range;
   range.job.id = "j";
   range.job.tasks = 1;
@@ -191,12 +196,12 @@
   range.range = {0, 1};
   range.initial_window = 1;
   Write(RangeKey("c", "j"), EncodeRow(range));
-  Link("vm-1");
+  LinkAgent("vm-1");
   size_t starts = 0;
   size_t stops = 0;
-  const auto pass = [&](Duration length) {
+  const auto run_with_agent = [&](Duration length) {
     for (const TimePoint end = now_ + length; now_ < end;) {
-      Pass(kTick);
+      RunFor(kTick);
       const Fence fence{1, {1, 1}};
       host_->OnAgentMessage("vm-1", Heartbeat{fence, now_}, now_);
       for (const AgentMessage& message : host_->TakeMessages()) {
@@ -210,16 +215,16 @@
       }
     }
   };
-  pass(seconds(5));
+  run_with_agent(seconds(5));
   ASSERT_EQ(starts, 1U);
   table_.set_fault(TableFault::kDown);
-  pass(seconds(2));
+  run_with_agent(seconds(2));
   range.cancelled = true;
   Write(RangeKey("c", "j"), EncodeRow(range));
-  pass(std::chrono::minutes(21));
+  run_with_agent(std::chrono::minutes(21));
   EXPECT_EQ(stops, 0U);
   table_.set_fault(TableFault::kNone);
-  pass(seconds(15));
+  run_with_agent(seconds(15));
   EXPECT_EQ(stops, 1U);
 }
 
