--- a/beamhill/cell/cell_owner.cc
+++ b/beamhill/cell/cell_owner.cc
@@ -6,8 +6,8 @@
 namespace beamhill {
 namespace {
 
-// An agent that was heard this recently is alive, whatever the list says.
-constexpr Duration kHeardRecently = std::chrono::seconds(5);
+// An agent heard from within this time is alive, even if its VM is not listed.
+constexpr Duration kRecentlyHeard = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -16,19 +16,19 @@
     const CellSnapshot& snapshot, const std::vector<RangeRow>& ranges) {
   std::unique_ptr<CellOwner> owner(new CellOwner(options, ownership));
   if (ownership.inherited) {
-    owner->unaccounted_.insert(snapshot.roster.begin(), snapshot.roster.end());
+    owner->unreconciled_.insert(snapshot.roster.begin(), snapshot.roster.end());
   }
-  const bool inherited = !owner->unaccounted_.empty();
+  const bool inherited = !owner->unreconciled_.empty();
   for (const RangeRow& row : ranges) {
     const auto progress = std::find_if(
         snapshot.ranges.begin(), snapshot.ranges.end(),
         [&row](const RangeProgress& p) { return p.job == row.job.id; });
     const RangeProgress* found =
         progress == snapshot.ranges.end() ? nullptr : &*progress;
-    // Without a VM to wait for, what was started is over; the ledger still
-    // treats it as inherited and settles it at once.
+    // With no VM to reconcile, no inherited task can still be running, so that
+    // the unknown tasks are requeued at once.
     RangeLedger ledger(row, ownership.inherited, found);
-    if (!inherited) ledger.SettleUnknown();
+    if (!inherited) ledger.RequeueUnknown();
     owner->ranges_.emplace(row.job.id, std::move(ledger));
   }
   owner->dirty_ = true;
@@ -39,17 +39,18 @@
                      const Ownership& ownership)
     : options_(options), ownership_(ownership) {}
 
-Duration CellOwner::Lengthened(Duration d) const {
+Duration CellOwner::WithClockMargin(Duration d) const {
   return d + d * options_.clock_rate_error_permille / 1000;
 }
 
-// No lease that an earlier owner granted can last beyond this.
-TimePoint CellOwner::InheritedBound() const {
+// An owner grants nothing after its release, so that leases granted before it
+// are the last ones. A lost owner may grant leases until its own term ends.
+TimePoint CellOwner::InheritedLeaseEnd() const {
   if (!ownership_.inherited) return TimePoint{};
   if (ownership_.released) {
-    return ownership_.claimed_at + Lengthened(options_.agent_term);
+    return ownership_.claimed_at + WithClockMargin(options_.agent_term);
   }
-  return ownership_.claimed_at + Lengthened(options_.ownership_term);
+  return ownership_.claimed_at + WithClockMargin(options_.ownership_term);
 }
 
 void CellOwner::OnOwnershipConfirmed(TimePoint sent_at) {
@@ -58,18 +59,19 @@
 }
 
 void CellOwner::OnOwnershipLost() {
-  lost_ = true;
+  ownership_lost_ = true;
   outbox_.clear();
 }
 
 bool CellOwner::MayAct(TimePoint now) const {
-  return !lost_ && now < ownership_.confirmed_at + options_.ownership_term;
+  return !ownership_lost_ &&
+         now < ownership_.confirmed_at + options_.ownership_term;
 }
 
 bool CellOwner::WantsConfirmation(TimePoint now) const {
-  if (lost_) return false;
+  if (ownership_lost_) return false;
   if (now >= ownership_.confirmed_at + options_.ownership_term / 4) return true;
-  if (WaitsToExpire(now)) return true;
+  if (ExpiryNeedsConfirmation(now)) return true;
   return std::any_of(agents_.begin(), agents_.end(), [](const auto& entry) {
     return entry.second.linked && !entry.second.confirmed;
   });
@@ -79,8 +81,8 @@
   return Fence{ownership_.epoch, agent.session};
 }
 
-CellOwner::Agent* CellOwner::Current(const std::string& vm,
-                                     const Fence& fence) {
+CellOwner::Agent* CellOwner::FindCurrentAgent(const std::string& vm,
+                                              const Fence& fence) {
   const auto it = agents_.find(vm);
   const bool current = it != agents_.end() && it->second.linked &&
                        fence.epoch == ownership_.epoch &&
@@ -91,7 +93,7 @@
 }
 
 void CellOwner::Send(const Agent& agent, Message message) {
-  if (lost_) return;
+  if (ownership_lost_) return;
   outbox_.push_back({agent.view.vm, std::move(message)});
 }
 
@@ -100,14 +102,14 @@
 }
 
 std::vector<std::string> CellOwner::TakeDroppedVms() {
-  return std::exchange(dropped_, {});
+  return std::exchange(dropped_vms_, {});
 }
 
 void CellOwner::OnRange(const RangeRow& row) {
   const auto it = ranges_.find(row.job.id);
   if (it == ranges_.end()) {
     ranges_.emplace(row.job.id,
-                    RangeLedger(row, !unaccounted_.empty(), nullptr));
+                    RangeLedger(row, !unreconciled_.empty(), nullptr));
   } else if (row.cancelled && !it->second.cancelled()) {
     it->second.Cancel();
     CancelRunning(it->second);
@@ -129,27 +131,27 @@
   agent.view.capacity = hello.capacity;
   agent.session = hello.session;
   agent.linked = true;
-  agent.asked = false;
-  agent.answered = false;
-  // A run of the agent that has obeyed this epoch remembers it, so no new
+  agent.request_sent = false;
+  agent.inventory_received = false;
+  // An agent process that has obeyed this epoch remembers it, so that no new
   // confirmation is needed when only its link was lost.
-  agent.confirmed = agent.known_incarnation == hello.session.incarnation;
+  agent.confirmed = agent.obeying_incarnation == hello.session.incarnation;
   agent.hello_at = now;
-  agent.last_heard = now;
+  agent.last_heard_at = now;
   if (MayAct(now)) RequestInventory(agent);
 }
 
 void CellOwner::RequestInventory(Agent& agent) {
-  ++agent.requested;
-  agent.asked = true;
-  Send(agent, InventoryRequest{options_.cell, agent.confirmed, agent.requested,
-                               FenceFor(agent)});
+  ++agent.last_request;
+  agent.request_sent = true;
+  Send(agent, InventoryRequest{options_.cell, agent.confirmed,
+                               agent.last_request, FenceFor(agent)});
 }
 
 void CellOwner::RequestPendingInventories() {
   for (auto& [vm, agent] : agents_) {
-    // One that linked while nothing could be sent has not been asked at all.
-    if (!agent.linked || (agent.confirmed && agent.asked)) continue;
+    // None was requested if the agent linked while the owner could not act.
+    if (!agent.linked || (agent.confirmed && agent.request_sent)) continue;
     const bool is_later = agent.hello_at > ownership_.confirmed_at;
     if (!agent.confirmed && is_later) continue;
     agent.confirmed = true;
@@ -161,42 +163,43 @@
   const auto it = agents_.find(vm);
   if (it == agents_.end() || !(it->second.session == session)) return;
   it->second.linked = false;
-  it->second.answered = false;
+  it->second.inventory_received = false;
 }
 
 void CellOwner::OnHeartbeat(const std::string& vm, const Heartbeat& heartbeat,
                             TimePoint now) {
-  Agent* agent = Current(vm, heartbeat.fence);
+  Agent* agent = FindCurrentAgent(vm, heartbeat.fence);
   if (agent == nullptr) return;
-  agent->last_heard = now;
+  agent->last_heard_at = now;
   if (!MayAct(now)) return;
   const TimePoint authority_end =
       ownership_.confirmed_at + options_.ownership_term;
   const Duration term = std::min(options_.agent_term, authority_end - now);
-  agent->lease_bound = std::max(agent->lease_bound, now + Lengthened(term));
+  agent->lease_bound =
+      std::max(agent->lease_bound, now + WithClockMargin(term));
   Send(*agent, Grant{FenceFor(*agent), heartbeat.stamp, term});
 }
 
-void CellOwner::Account(const std::string& vm) {
-  if (unaccounted_.erase(vm) == 0) return;
-  if (!unaccounted_.empty()) return;
-  for (auto& [job, ledger] : ranges_) ledger.SettleUnknown();
+void CellOwner::MarkReconciled(const std::string& vm) {
+  if (unreconciled_.erase(vm) == 0) return;
+  if (!unreconciled_.empty()) return;
+  for (auto& [job, ledger] : ranges_) ledger.RequeueUnknown();
 }
 
 void CellOwner::OnInventory(const std::string& vm, const Inventory& inventory,
                             TimePoint now) {
-  Agent* agent = Current(vm, inventory.fence);
-  if (agent == nullptr || inventory.number != agent->requested) return;
-  // An agent that may have obeyed a later owner before it started anew says
-  // nothing to act on until this ownership is confirmed.
+  Agent* agent = FindCurrentAgent(vm, inventory.fence);
+  if (agent == nullptr || inventory.number != agent->last_request) return;
+  // The agent may have obeyed a later owner before a restart, so its inventory
+  // can't be used until this ownership is confirmed after its Hello.
   if (!agent->confirmed) return;
   std::map<std::string, std::set<uint32_t>> reported;
-  for (const auto& [task, held] : agent->held) making_room_.erase(task);
+  for (const auto& [task, held] : agent->held) preempting_.erase(task);
   agent->held.clear();
   agent->view.granted = Resources{};
   agent->view.loads.clear();
   for (const RunningTask& running : inventory.running) {
-    Hold(*agent, running.task, running.granted, now);
+    AddHeldTask(*agent, running.task, running.granted, now);
     const auto it = ranges_.find(running.task.job);
     const bool wanted =
         it != ranges_.end() &&
@@ -206,39 +209,40 @@
     }
     reported[running.task.job].insert(running.task.index);
   }
-  std::vector<StopTask> settle_now;
+  std::vector<StopTask> acknowledge_now;
   for (const TaskOutcome& outcome : inventory.outcomes) {
-    ApplyOutcome(*agent, outcome, now, &settle_now);
+    ApplyOutcome(*agent, outcome, now, &acknowledge_now);
   }
   for (auto& [job, ledger] : ranges_) {
     ledger.RequeueUnreported(vm, reported[job]);
   }
-  SendSettled(*agent, std::move(settle_now));
-  agent->answered = true;
-  agent->known_incarnation = agent->session.incarnation;
-  Account(vm);
+  SendAcknowledged(*agent, std::move(acknowledge_now));
+  agent->inventory_received = true;
+  agent->obeying_incarnation = agent->session.incarnation;
+  MarkReconciled(vm);
 }
 
 void CellOwner::OnOutcomes(const std::string& vm, const Outcomes& outcomes,
                            TimePoint now) {
-  Agent* agent = Current(vm, outcomes.fence);
+  Agent* agent = FindCurrentAgent(vm, outcomes.fence);
   if (agent == nullptr) return;
-  std::vector<StopTask> settle_now;
+  std::vector<StopTask> acknowledge_now;
   for (const TaskOutcome& outcome : outcomes.outcomes) {
-    ApplyOutcome(*agent, outcome, now, &settle_now);
+    ApplyOutcome(*agent, outcome, now, &acknowledge_now);
   }
-  SendSettled(*agent, std::move(settle_now));
+  SendAcknowledged(*agent, std::move(acknowledge_now));
 }
 
 void CellOwner::ApplyOutcome(Agent& agent, const TaskOutcome& outcome,
-                             TimePoint now, std::vector<StopTask>* settle_now) {
+                             TimePoint now,
+                             std::vector<StopTask>* acknowledge_now) {
   const StopTask key{outcome.task, outcome.attempt};
-  Release(agent, outcome.task);
-  making_room_.erase(outcome.task);
-  NoteHealth(agent, outcome, now);
+  RemoveHeldTask(agent, outcome.task);
+  preempting_.erase(outcome.task);
+  RecordHealth(agent, outcome, now);
   const auto it = ranges_.find(outcome.task.job);
   if (it == ranges_.end()) {
-    settle_now->push_back(key);
+    acknowledge_now->push_back(key);
     return;
   }
   const RangeLedger::OutcomeEffect effect =
@@ -264,36 +268,36 @@
       break;
   }
   if (outcome.kind == OutcomeKind::kRefused) {
-    settle_now->push_back(key);
+    acknowledge_now->push_back(key);
     return;
   }
-  // Also what changed nothing now may rest on a change that is not durable
-  // yet, so it waits for the next snapshot as well.
-  unsettled_[agent.view.vm].push_back(key);
+  // Even an outcome without effect may repeat one whose effect is not durable
+  // yet, so it is acknowledged only after the next snapshot as well.
+  unacknowledged_[agent.view.vm].push_back(key);
   dirty_ = true;
 }
 
-void CellOwner::NoteHealth(const Agent& agent, const TaskOutcome& outcome,
-                           TimePoint now) {
+void CellOwner::RecordHealth(const Agent& agent, const TaskOutcome& outcome,
+                             TimePoint now) {
   const bool done = outcome.kind == OutcomeKind::kDone;
   const bool failed = outcome.kind == OutcomeKind::kFailed;
   if (!done && !failed) return;
   health_.OnEnded(agent.view.vm, outcome.task.job, failed, now);
 }
 
-void CellOwner::SendSettled(Agent& agent, std::vector<StopTask> tasks) {
+void CellOwner::SendAcknowledged(Agent& agent, std::vector<StopTask> tasks) {
   if (tasks.empty()) return;
   Send(agent, Settled{FenceFor(agent), std::move(tasks)});
 }
 
-void CellOwner::Hold(Agent& agent, const TaskId& task, const Resources& amount,
-                     TimePoint since) {
+void CellOwner::AddHeldTask(Agent& agent, const TaskId& task,
+                            const Resources& amount, TimePoint since) {
   if (!agent.held.emplace(task, HeldTask{amount, since, false}).second) return;
   agent.view.granted += amount;
   AddLoad(agent, task, amount, 1);
 }
 
-void CellOwner::Release(Agent& agent, const TaskId& task) {
+void CellOwner::RemoveHeldTask(Agent& agent, const TaskId& task) {
   const auto it = agent.held.find(task);
   if (it == agent.held.end()) return;
   agent.view.granted -= it->second.amount;
@@ -303,16 +307,16 @@
 
 void CellOwner::ForgetVm(const std::string& vm) {
   const auto it = agents_.find(vm);
-  if (it != agents_.end() && it->second.linked) dropped_.push_back(vm);
+  if (it != agents_.end() && it->second.linked) dropped_vms_.push_back(vm);
   for (auto& [job, ledger] : ranges_) ledger.RequeueUnreported(vm, {});
   if (it != agents_.end()) {
-    for (const auto& [task, held] : it->second.held) making_room_.erase(task);
+    for (const auto& [task, held] : it->second.held) preempting_.erase(task);
   }
   agents_.erase(vm);
   health_.ForgetVm(vm);
-  unsettled_.erase(vm);
-  settling_.erase(vm);
-  Account(vm);
+  unacknowledged_.erase(vm);
+  acknowledged_by_snapshot_.erase(vm);
+  MarkReconciled(vm);
   ++counts_.requeued_vms;
   dirty_ = true;
 }
@@ -320,10 +324,10 @@
 void CellOwner::OnVmGone(const std::string& vm, TimePoint now) {
   const auto it = agents_.find(vm);
   if (it == agents_.end()) {
-    if (unaccounted_.count(vm) > 0) ForgetVm(vm);
+    if (unreconciled_.count(vm) > 0) ForgetVm(vm);
     return;
   }
-  it->second.listed_gone = true;
+  it->second.removed_from_list = true;
   if (IsExpired(it->second, now)) ForgetVm(vm);
 }
 
@@ -331,33 +335,33 @@
   const auto it = agents_.find(vm);
   if (it == agents_.end()) return;
   it->second.leaving = leaving;
-  it->second.listed_gone = false;
+  it->second.removed_from_list = false;
 }
 
 bool CellOwner::IsExpired(const Agent& agent, TimePoint now) const {
-  if (agent.listed_gone) {
-    return !agent.linked || now >= agent.last_heard + kHeardRecently;
+  if (agent.removed_from_list) {
+    return !agent.linked || now >= agent.last_heard_at + kRecentlyHeard;
   }
-  // A lease that this owner never granted may still be an earlier one's.
-  const TimePoint bound = std::max(InheritedBound(), agent.lease_bound);
-  if (!IsPast(bound, now)) return false;
-  return !agent.linked || now >= agent.last_heard + options_.agent_term;
+  // The VM may still have a lease of an earlier owner.
+  const TimePoint bound = std::max(InheritedLeaseEnd(), agent.lease_bound);
+  if (!HasExpired(bound, now)) return false;
+  return !agent.linked || now >= agent.last_heard_at + options_.agent_term;
 }
 
-bool CellOwner::IsPast(TimePoint bound, TimePoint now) const {
+bool CellOwner::HasExpired(TimePoint bound, TimePoint now) const {
   return now >= bound && ownership_.confirmed_at >= bound;
 }
 
-bool CellOwner::WaitsToExpire(TimePoint now) const {
+bool CellOwner::ExpiryNeedsConfirmation(TimePoint now) const {
   const auto waits = [&](TimePoint bound) {
     return now >= bound && ownership_.confirmed_at < bound;
   };
-  if (!unaccounted_.empty() && waits(InheritedBound())) return true;
+  if (!unreconciled_.empty() && waits(InheritedLeaseEnd())) return true;
   return std::any_of(agents_.begin(), agents_.end(), [&](const auto& entry) {
     const Agent& agent = entry.second;
     const bool silent =
-        !agent.linked || now >= agent.last_heard + options_.agent_term;
-    return silent && waits(std::max(InheritedBound(), agent.lease_bound));
+        !agent.linked || now >= agent.last_heard_at + options_.agent_term;
+    return silent && waits(std::max(InheritedLeaseEnd(), agent.lease_bound));
   });
 }
 
@@ -366,9 +370,9 @@
   for (const auto& [vm, agent] : agents_) {
     if (IsExpired(agent, now)) expired.push_back(vm);
   }
-  for (const std::string& vm : unaccounted_) {
+  for (const std::string& vm : unreconciled_) {
     const bool silent = agents_.count(vm) == 0;
-    if (silent && IsPast(InheritedBound(), now)) expired.push_back(vm);
+    if (silent && HasExpired(InheritedLeaseEnd(), now)) expired.push_back(vm);
   }
   for (const std::string& vm : expired) ForgetVm(vm);
 }
@@ -376,7 +380,7 @@
 void CellOwner::Tick(TimePoint now) {
   if (!MayAct(now)) return;
   ExpireAgents(now);
-  StartTasksNow(now);
+  ScheduleTasks(now);
 }
 
 void CellOwner::Stop(const std::string& vm, const TaskId& task, Attempt attempt,
@@ -396,7 +400,7 @@
 }
 
 std::optional<CellSnapshot> CellOwner::TakeSnapshot(TimePoint now) {
-  if (lost_ || snapshot_out_) return std::nullopt;
+  if (ownership_lost_ || has_snapshot_in_flight_) return std::nullopt;
   bool urgent = !last_snapshot_;
   for (const auto& [vm, agent] : agents_) {
     if (!agent.in_durable_roster) urgent = true;
@@ -414,26 +418,26 @@
 
   CellSnapshot snapshot;
   snapshot.epoch = ownership_.epoch;
-  std::set<std::string> roster = unaccounted_;
+  std::set<std::string> roster = unreconciled_;
   for (const auto& [vm, agent] : agents_) roster.insert(vm);
   snapshot.roster.assign(roster.begin(), roster.end());
   for (const auto& [job, ledger] : ranges_) {
     snapshot.ranges.push_back(ledger.Progress());
   }
   snapshot_in_flight_ = snapshot;
-  for (auto& [vm, tasks] : unsettled_) {
-    auto& settling = settling_[vm];
-    settling.insert(settling.end(), tasks.begin(), tasks.end());
+  for (auto& [vm, tasks] : unacknowledged_) {
+    auto& to_acknowledge = acknowledged_by_snapshot_[vm];
+    to_acknowledge.insert(to_acknowledge.end(), tasks.begin(), tasks.end());
   }
-  unsettled_.clear();
+  unacknowledged_.clear();
   dirty_ = false;
-  snapshot_out_ = true;
+  has_snapshot_in_flight_ = true;
   last_snapshot_ = now;
   return snapshot;
 }
 
 void CellOwner::OnSnapshotDurable(TimePoint sent_at) {
-  snapshot_out_ = false;
+  has_snapshot_in_flight_ = false;
   for (const std::string& vm : snapshot_in_flight_.roster) {
     const auto it = agents_.find(vm);
     if (it != agents_.end()) it->second.in_durable_roster = true;
@@ -442,17 +446,17 @@
     const auto it = ranges_.find(progress.job);
     if (it != ranges_.end()) it->second.OnWindowDurable(progress.window);
   }
-  for (auto& [vm, tasks] : settling_) {
+  for (auto& [vm, tasks] : acknowledged_by_snapshot_) {
     const auto it = agents_.find(vm);
     if (it == agents_.end() || !it->second.linked) continue;
-    SendSettled(it->second, std::move(tasks));
+    SendAcknowledged(it->second, std::move(tasks));
   }
-  settling_.clear();
+  acknowledged_by_snapshot_.clear();
   OnOwnershipConfirmed(sent_at);
 }
 
 void CellOwner::OnSnapshotFailed() {
-  snapshot_out_ = false;
+  has_snapshot_in_flight_ = false;
   dirty_ = true;
 }
 
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -1,18 +1,21 @@
-// The owner of one cell: the only process that may start the cell's tasks.
+// Schedules the tasks of one cell as its owner, the only process that may start
+// them.
 //
-// Pure: it reads no clock and does no I/O. The process that embeds it passes
-// in messages and times and carries out what it asks for.
+// The class reads no clock and does no I/O. The process that embeds it passes
+// in messages and times, sends the messages and writes the snapshots that it
+// returns.
 //
-// Why a task runs in one place only:
-//  - At most one epoch is current for a cell; it is taken by a conditional
-//    write of the cell's row and only grows (see ownership.h).
+// How a task is kept from running in two places at once:
+//  - At most one epoch is current for a cell. It is obtained by a conditional
+//    write of the cell's row and only increases (see cell_host.h).
 //  - A VM's agent that has seen an epoch refuses all earlier ones. A new owner
-//    touches no task that may be on a VM until that VM has answered with its
-//    whole inventory, or can no longer run it: the platform listed the VM and
-//    then dropped it, or every lease that any earlier owner could have granted
-//    has run out, and the cell is confirmed to be still this owner's since.
-//  - The VMs and task indexes that may be in use are durable beforehand
-//    (roster and window of the snapshot).
+//    neither starts nor requeues a task that may be on a VM until that VM has
+//    sent its complete inventory or can no longer run the task. The latter
+//    holds when the platform has removed the VM from its list, or when every
+//    lease that an earlier owner could have granted has expired and a later
+//    read has confirmed that this owner still owns the cell.
+//  - The VMs and task indexes that may be in use are made durable first, in the
+//    roster and the windows of the snapshot.
 //
 //   auto owner = CellOwner::Create(options, ownership, snapshot, ranges);
 //   owner->OnHello(hello, now);
@@ -41,57 +44,60 @@
 
 namespace beamhill {
 
-// What a placement decision sees of one VM.
+// The state of one VM on which placement decisions are based.
 struct VmView {
   std::string vm;
   std::string rack;
   Resources capacity;
   Resources granted;
-  ClassLoads loads;     // Of batch tasks, by class.
-  double pressure = 1;  // See VmLoad.
+  ClassLoads loads;  // Of batch tasks, by class.
+  // Moving average of the service's latency on the VM over the latency that the
+  // interference model predicts for its loads.
+  double latency_ratio = 1;
 };
 
-// Chooses one of `vms` for a task of `job`, or none. Every VM offered holds
-// the task.
+// Returns the index in `vms` of the VM to run a task of `job`, or nothing to
+// let the task wait. The task fits on each of the VMs.
 using PlacementHook = std::function<std::optional<size_t>(
     const JobSpec& job, const std::vector<const VmView*>& vms)>;
 
-// The VM whose remaining capacity is the tightest fit.
+// Returns the VM that has the least capacity left once the task is placed.
 std::optional<size_t> PlaceBestFit(const JobSpec& job,
                                    const std::vector<const VmView*>& vms);
 
 struct CellOwnerOptions {
   std::string cell;
-  // An agent's lease, from the stamp of its heartbeat.
+  // Duration of an agent's lease, from the time stamp of its heartbeat.
   Duration agent_term = std::chrono::minutes(2);
-  // How long a confirmed ownership lasts: the store outage that is tolerated.
+  // How long the owner may act after a confirmation of its ownership: the
+  // longest outage of the table that it bridges.
   Duration ownership_term = std::chrono::minutes(20);
-  // Bound on how much faster one VM's clock may run than another's, in parts
-  // per thousand. Waits are lengthened by it.
+  // Bound on the difference in rate between the clocks of two VMs, in parts per
+  // thousand. Waits for leases to expire are extended by it.
   int64_t clock_rate_error_permille = 2;
-  // Least time between two snapshots.
+  // Shortest time between two snapshots that are not urgent.
   Duration snapshot_interval = std::chrono::seconds(15);
   PlacementHook place = PlaceBestFit;
-  // When both are set, batch tasks are placed by what the cell has learned of
-  // interference, and `place` decides only while it has learned too little.
+  // When both are set, batch tasks are placed by the interference model of the
+  // cell, and by `place` only until the model has enough samples.
   std::function<PolicyWeights()> weights;
   std::function<Duration()> latency_target;
-  // The largest share of the cell that a team may hold.
+  // The largest share of the cell that a team may use, in (0, 1].
   FairOrder::Quota quota = [](const std::string&) { return 1.0; };
-  // Evictions that may be ordered in an hour.
+  // The limit on evictions ordered per hour.
   std::function<int64_t()> evictions_per_hour = [] { return int64_t{60}; };
 };
 
-// How the cell was taken.
+// How and when the cell was claimed.
 struct Ownership {
   uint64_t epoch = 1;
-  // When the confirming write or read was sent, on this process's clock.
+  // When the last write or read that confirmed the ownership was sent, on this
+  // process's clock.
   TimePoint confirmed_at{};
-  // When the answer to the taking write came.
+  // When the claim's answer was received.
   TimePoint claimed_at{};
-  // Whether an earlier owner exists, and whether it gave the cell up itself.
-  bool inherited = false;
-  bool released = false;
+  bool inherited = false;  // The cell had an owner before.
+  bool released = false;   // The last of them released the cell.
 };
 
 struct AgentMessage {
@@ -99,36 +105,40 @@
   Message message;
 };
 
+// Counts of tasks, unless named otherwise, since the cell was claimed.
 struct CellOwnerCounts {
   uint64_t starts = 0;
   uint64_t done = 0;
   uint64_t failed = 0;
   uint64_t evicted = 0;
   uint64_t refused = 0;
-  uint64_t lost = 0;  // With their workers.
-  uint64_t requeued_vms = 0;
+  uint64_t lost = 0;          // No longer known to their worker.
+  uint64_t requeued_vms = 0;  // VMs given up, with their tasks requeued.
   uint64_t evictions_ordered = 0;
-  uint64_t stale_messages = 0;
+  uint64_t stale_messages = 0;  // Dropped for an old epoch or session.
 };
 
 class CellOwner {
  public:
+  // Restores the cell's state from the last snapshot and the range rows.
   static std::unique_ptr<CellOwner> Create(const CellOwnerOptions& options,
                                            const Ownership& ownership,
                                            const CellSnapshot& snapshot,
                                            const std::vector<RangeRow>& ranges);
 
-  // The cell's row was read and is still ours; the read was sent then.
+  // A read of the cell's row, sent at `sent_at`, still showed this ownership.
   void OnOwnershipConfirmed(TimePoint sent_at);
-  // Another owner has the cell. Nothing is sent from now on.
+  // Another process owns the cell, or it was released. Nothing is sent from now
+  // on.
   void OnOwnershipLost();
-  // Whether messages may still be sent to agents.
+  // Whether the owner may still grant leases and start tasks.
   bool MayAct(TimePoint now) const;
-  // Whether a confirming read is wanted: an agent waits for one, or a quarter
-  // of the term is over.
+  // Whether to confirm the ownership by a read: a quarter of the term has
+  // passed, a linked agent must not be used before it, or it is all that keeps
+  // a VM from being given up.
   bool WantsConfirmation(TimePoint now) const;
 
-  // A range row that was read from the table, new or changed.
+  // Adds a range row read from the table, or applies its cancellation.
   void OnRange(const RangeRow& row);
 
   void OnHello(const Hello& hello, TimePoint now);
@@ -139,39 +149,42 @@
                    TimePoint now);
   void OnOutcomes(const std::string& vm, const Outcomes& outcomes,
                   TimePoint now);
-  // What the VM's runner reports of its service.
+  // Feeds the latency that the VM's runner reports to the interference model.
   void OnRunnerReport(const std::string& vm, const RunnerReport& report);
-  // The VM's agent finds that throttling is not enough.
+  // Evicts a batch task of the VM: its agent reports that throttling them does
+  // not protect the service enough.
   void OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
                      TimePoint now);
-  // The platform's list shows the VM, as leaving or not. It gets no new tasks
-  // while it is leaving.
+  // The platform's list shows the VM, as leaving or not. A leaving VM gets no
+  // new tasks.
   void OnVmLeaving(const std::string& vm, bool leaving);
-  // The platform's list showed the VM and has since dropped it. Believed at
-  // once unless the VM's agent is still heard.
+  // The platform's list no longer shows a VM that it showed before. Gives the
+  // VM up at once, or when its agent has stopped sending heartbeats.
   void OnVmGone(const std::string& vm, TimePoint now);
 
-  // Expires leases and starts tasks.
+  // Gives up VMs whose leases have expired, and starts tasks.
   void Tick(TimePoint now);
 
-  // Asks a VM to checkpoint and stop the task, which then waits for another.
+  // Asks the VM to checkpoint and stop the task, which is then requeued.
   void Evict(const TaskId& task);
 
   std::vector<AgentMessage> TakeMessages();
-  // VMs that were given up while their links were up. Their links are to be
-  // closed; an agent that still lives says Hello anew.
+  // Returns VMs that were given up while linked. The caller must close their
+  // links; an agent that is still alive reconnects and says Hello again.
   std::vector<std::string> TakeDroppedVms();
 
-  // A snapshot to write now, if one is due. At most one is out at a time.
+  // Returns a snapshot to write if one is due. None is due while the last one
+  // is in flight, that is, until one of the two calls below.
   std::optional<CellSnapshot> TakeSnapshot(TimePoint now);
-  // The snapshot taken last is durable (the write was sent at `sent_at`), or
-  // its write failed and it will be taken anew.
+  // The write of the last snapshot, sent at `sent_at`, is durable. This also
+  // confirms the ownership.
   void OnSnapshotDurable(TimePoint sent_at);
+  // The write failed. A new snapshot will be due.
   void OnSnapshotFailed();
 
-  // Jobs whose range here is over. Once their results are durable in the
-  // table they are forgotten with ForgetRange, and what agents still hold of
-  // them is settled.
+  // Returns the jobs whose range in this cell is finished. The caller makes
+  // their results durable and then calls ForgetRange; outcomes that agents
+  // report for them after that are acknowledged at once.
   std::vector<std::string> FinishedJobs() const;
   void ForgetRange(const std::string& job);
 
@@ -179,81 +192,109 @@
   uint64_t epoch() const { return ownership_.epoch; }
   const CellOwnerCounts& counts() const { return counts_; }
   const std::map<std::string, RangeLedger>& ranges() const { return ranges_; }
-  // VMs of the inherited roster that still block unknown tasks.
-  const std::set<std::string>& unreconciled() const { return unaccounted_; }
+  // VMs of the inherited roster that may still hold tasks of earlier owners.
+  // Tasks in state unknown can't be started before this set is empty.
+  const std::set<std::string>& unreconciled() const { return unreconciled_; }
   std::vector<VmView> Vms() const;
   const WorkerHealth& health() const { return health_; }
-  // Jobs that no VM of the cell could ever hold a task of.
+  // Returns the jobs whose tasks fit on no VM of the cell, even an empty one.
   std::vector<std::string> ImpossibleJobs() const;
 
  private:
+  // A task that occupies capacity of a VM.
   struct HeldTask {
     Resources amount;
     TimePoint since{};
-    bool stopping = false;
+    bool stopping = false;  // Its eviction was ordered.
   };
+
   struct Agent {
     VmView view;
     Session session;
     bool linked = false;
-    uint32_t requested = 0;  // Number of the last inventory request.
-    bool asked = false;      // For its inventory, in this session.
-    bool answered = false;   // Inventory received in this session.
-    bool confirmed = false;  // Asked after a confirmation past its Hello.
+    uint32_t last_request = 0;        // Number of the last inventory request.
+    bool request_sent = false;        // For the inventory, in this session.
+    bool inventory_received = false;  // In this session.
+    // The ownership was confirmed after the agent's Hello, or the agent's
+    // incarnation has obeyed this epoch before.
+    bool confirmed = false;
     bool in_durable_roster = false;
-    uint64_t known_incarnation = 0;  // Has obeyed this epoch before.
-    bool listed_gone = false;
+    uint64_t obeying_incarnation = 0;  // The last that obeyed this epoch.
+    bool removed_from_list = false;
     bool leaving = false;
     TimePoint hello_at{};
-    TimePoint last_heard{};
-    TimePoint lease_bound{};
-    std::map<TaskId, HeldTask> held;  // Sums up to view.granted.
+    TimePoint last_heard_at{};        // The last Hello or heartbeat.
+    TimePoint lease_bound{};          // No lease of this owner outlasts it.
+    std::map<TaskId, HeldTask> held;  // Adds up to view.granted.
   };
 
   CellOwner(const CellOwnerOptions& options, const Ownership& ownership);
 
-  Duration Lengthened(Duration d) const;
-  TimePoint InheritedBound() const;
+  // Extends `d` by the largest error of a VM's clock.
+  Duration WithClockMargin(Duration d) const;
+  // The time by which every lease granted by earlier owners has expired.
+  TimePoint InheritedLeaseEnd() const;
   Fence FenceFor(const Agent& agent) const;
-  Agent* Current(const std::string& vm, const Fence& fence);
+  // Returns the VM's agent if the fence is of this epoch and of its current
+  // session; otherwise counts a stale message and returns null.
+  Agent* FindCurrentAgent(const std::string& vm, const Fence& fence);
   void Send(const Agent& agent, Message message);
   void RequestInventory(Agent& agent);
   void RequestPendingInventories();
-  void Account(const std::string& vm);
+  // The VM holds no unknown task. Requeues all unknown tasks if it was the last
+  // VM to reconcile.
+  void MarkReconciled(const std::string& vm);
+  // Gives the VM up and requeues its tasks.
   void ForgetVm(const std::string& vm);
+  // Updates the task's state. Adds the outcome to `*acknowledge_now` if it need
+  // not be made durable before it is acknowledged.
   void ApplyOutcome(Agent& agent, const TaskOutcome& outcome, TimePoint now,
-                    std::vector<StopTask>* settle_now);
-  void NoteHealth(const Agent& agent, const TaskOutcome& outcome,
-                  TimePoint now);
-  void SendSettled(Agent& agent, std::vector<StopTask> tasks);
-  void Hold(Agent& agent, const TaskId& task, const Resources& amount,
-            TimePoint since);
+                    std::vector<StopTask>* acknowledge_now);
+  void RecordHealth(const Agent& agent, const TaskOutcome& outcome,
+                    TimePoint now);
+  // Tells the agent that it may forget these outcomes.
+  void SendAcknowledged(Agent& agent, std::vector<StopTask> tasks);
+  void AddHeldTask(Agent& agent, const TaskId& task, const Resources& amount,
+                   TimePoint since);
+  // Adds the task's load to the VM's class loads, or with a `sign` of -1
+  // subtracts it.
   void AddLoad(Agent& agent, const TaskId& task, const Resources& amount,
                int sign);
-  void Release(Agent& agent, const TaskId& task);
+  void RemoveHeldTask(Agent& agent, const TaskId& task);
+  // Whether the VM can be given up: it is certain to run no task.
   bool IsExpired(const Agent& agent, TimePoint now) const;
-  // Whether leases that end at the bound have run out for certain: a
-  // successor may have renewed them, unless the cell was still this owner's
-  // at a read that was sent after the bound.
-  bool IsPast(TimePoint bound, TimePoint now) const;
-  // Whether a silent agent's leases have run out but for that read.
-  bool WaitsToExpire(TimePoint now) const;
+  // Whether leases bounded by `bound` have certainly expired. A later owner may
+  // have renewed them, unless a read sent after the bound still showed this
+  // ownership.
+  bool HasExpired(TimePoint bound, TimePoint now) const;
+  // Whether only a confirmation read is missing to give up some silent VM.
+  bool ExpiryNeedsConfirmation(TimePoint now) const;
   void ExpireAgents(TimePoint now);
-  // In cell_scheduling.cc.
-  struct Waiting;
-  void StartTasksNow(TimePoint now);
-  void StartByTeam(Urgency urgency, FairOrder& order, int& budget,
-                   TimePoint now);
-  bool StartOne(RangeLedger& ledger, TimePoint now);
+
+  // Defined in cell_scheduling.cc.
+  struct TeamQueue;
+  void ScheduleTasks(TimePoint now);
+  // Starts tasks of the urgency in fair order among teams, until `budget` is
+  // used up or no task can be started.
+  void ScheduleTasksOf(Urgency urgency, FairOrder& order, int& budget,
+                       TimePoint now);
+  bool StartNextTask(RangeLedger& ledger, TimePoint now);
+  // Returns the VMs that may be given a task of this size now.
   std::vector<const VmView*> Candidates(const Resources& each,
                                         TimePoint now) const;
   Resources Capacity() const;
-  void MakeRoom(const JobSpec& job, size_t wanted, TimePoint now);
+  // Evicts tasks to make room for `wanted` tasks of `job`, less those for which
+  // evictions are in progress.
+  void PreemptFor(const JobSpec& job, size_t wanted, TimePoint now);
   std::optional<size_t> Place(const JobSpec& job,
                               const std::vector<const VmView*>& vms) const;
-  std::vector<TaskId> CheapestVictims(const Agent& agent,
-                                      const Resources& each) const;
-  bool TakeEviction(TimePoint now);
+  // Returns the tasks of the VM to evict so that a task of size `each` fits;
+  // empty if it would not fit even then.
+  std::vector<TaskId> PreemptionVictims(const Agent& agent,
+                                        const Resources& each) const;
+  // Takes a token for one eviction; returns false if there is none. The bucket
+  // holds an hour's evictions and refills over an hour.
+  bool TakeEvictionToken(TimePoint now);
   void FlushStarts();
   void Stop(const std::string& vm, const TaskId& task, Attempt attempt,
             StopMode mode);
@@ -261,34 +302,35 @@
 
   CellOwnerOptions options_;
   Ownership ownership_;
-  bool lost_ = false;
+  bool ownership_lost_ = false;
   uint64_t next_sequence_ = 1;
 
   std::map<std::string, Agent> agents_;
-  std::set<std::string> unaccounted_;
+  std::set<std::string> unreconciled_;
   std::map<std::string, RangeLedger> ranges_;
 
   bool dirty_ = false;
-  bool snapshot_out_ = false;
+  bool has_snapshot_in_flight_ = false;
   std::optional<TimePoint> last_snapshot_;
   CellSnapshot snapshot_in_flight_;
-  // Outcomes that wait for a snapshot to be taken, and for the one in flight.
-  std::map<std::string, std::vector<StopTask>> unsettled_;
-  std::map<std::string, std::vector<StopTask>> settling_;
+  // Outcomes to acknowledge, by VM: those newer than the last snapshot, and
+  // those that it contains, which are acknowledged once it is durable.
+  std::map<std::string, std::vector<StopTask>> unacknowledged_;
+  std::map<std::string, std::vector<StopTask>> acknowledged_by_snapshot_;
 
   WorkerHealth health_;
   InterferenceModel interference_;
-  // Sizes that found no VM in the current tick; a larger one won't either.
-  std::vector<Resources> unplaceable_;
-  // Tasks that were told to make room, by the job that it is for.
-  std::map<TaskId, std::string> making_room_;
+  // Task sizes that fit on no VM in the current tick, nor do larger ones.
+  std::vector<Resources> unplaceable_sizes_;
+  // Tasks being evicted, mapped to the job that the room is made for.
+  std::map<TaskId, std::string> preempting_;
   double eviction_tokens_ = 0;
   TimePoint eviction_tokens_at_{};
 
-  // Starts of the current tick, by VM and job.
+  // Starts of the current tick that are not sent yet, by VM and job.
   std::map<std::string, std::map<std::string, std::vector<StartTask>>> starts_;
   std::vector<AgentMessage> outbox_;
-  std::vector<std::string> dropped_;
+  std::vector<std::string> dropped_vms_;
   CellOwnerCounts counts_;
 };
 
--- a/beamhill/cell/cell_owner_benchmark.cc
+++ b/beamhill/cell/cell_owner_benchmark.cc
@@ -1,4 +1,4 @@
-// Cost of the owner's decisions by the number of its workers.
+// Measures the CellOwner's scheduling and heartbeats by the number of workers.
 #include <benchmark/benchmark.h>
 
 #include "beamhill/cell/cell_owner.h"
@@ -9,7 +9,8 @@
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr Resources kVm{32000, 125000, 0};
 
-std::unique_ptr<CellOwner> OwnerOf(int64_t workers) {
+// Creates an owner with idle workers that are ready for tasks.
+std::unique_ptr<CellOwner> CreateOwner(int64_t workers) {
   auto owner = CellOwner::Create({}, {1, kStart, kStart, false, false}, {}, {});
   for (int64_t i = 0; i < workers; ++i) {
     Hello hello;
@@ -36,7 +37,7 @@
   return owner;
 }
 
-RangeRow Job(uint32_t tasks) {
+RangeRow JobRange(uint32_t tasks) {
   RangeRow row;
   row.job.id = "job";
   row.job.team = "team";
@@ -48,17 +49,18 @@
   return row;
 }
 
-// One start, placement included.
+// Ticks that start tasks, placement included. The starts per second are
+// reported as a counter.
 void BM_Start(benchmark::State& state) {
-  const auto owner = OwnerOf(state.range(0));
-  owner->OnRange(Job(100'000'000));
+  const auto owner = CreateOwner(state.range(0));
+  owner->OnRange(JobRange(100'000'000));
   uint64_t starts = 0;
   for (auto unused : state) {
     const uint64_t before = owner->counts().starts;
     owner->Tick(kStart);
     starts += owner->counts().starts - before;
     state.PauseTiming();
-    // Frees what was started.
+    // Ends the tasks, which frees their capacity.
     for (const AgentMessage& message : owner->TakeMessages()) {
       const auto* s = std::get_if<StartTasks>(&message.message);
       if (s == nullptr) continue;
@@ -78,10 +80,10 @@
 }
 BENCHMARK(BM_Start)->Arg(30)->Arg(100)->Arg(300)->Arg(700)->Arg(7700);
 
-// A tick of a full cell with work waiting: nothing can start.
+// A tick of a full cell with queued tasks, none of which can start.
 void BM_TickOfAFullCell(benchmark::State& state) {
-  const auto owner = OwnerOf(state.range(0));
-  owner->OnRange(Job(100'000'000));
+  const auto owner = CreateOwner(state.range(0));
+  owner->OnRange(JobRange(100'000'000));
   for (int i = 0; i < 1000; ++i) owner->Tick(kStart);
   owner->TakeMessages();
   for (auto unused : state) owner->Tick(kStart);
@@ -89,7 +91,7 @@
 BENCHMARK(BM_TickOfAFullCell)->Arg(30)->Arg(100)->Arg(300)->Arg(700)->Arg(7700);
 
 void BM_Heartbeat(benchmark::State& state) {
-  const auto owner = OwnerOf(state.range(0));
+  const auto owner = CreateOwner(state.range(0));
   const Heartbeat heartbeat{Fence{1, {1, 1}}, kStart};
   for (auto unused : state) {
     owner->OnHeartbeat("vm-0", heartbeat, kStart);
--- a/beamhill/cell/cell_scheduling.cc
+++ b/beamhill/cell/cell_scheduling.cc
@@ -1,4 +1,4 @@
-// The part of CellOwner that decides what starts where, and what makes room.
+// Scheduling in CellOwner: selects the tasks to start and to evict.
 #include <algorithm>
 #include <utility>
 
@@ -9,13 +9,15 @@
 
 // Bounds the time that one tick takes.
 constexpr int kMaxStartsPerTick = 512;
-// Urgent tasks of one job that room is made for at a time.
-constexpr size_t kMaxRoomPerJob = 64;
+// Limits the tasks of one urgent job that room is made for at a time.
+constexpr size_t kMaxPreemptionsPerJob = 64;
 
-// Samples before what was learned decides.
-constexpr size_t kSamplesToDecide = 200;
-constexpr double kPressureWeight = 0.1;
+// Samples from which on the interference model decides on placements.
+constexpr size_t kMinInterferenceSamples = 200;
+// Weight of a new sample in the moving average.
+constexpr double kLatencyRatioSmoothing = 0.1;
 
+// Sum over all resources of the share that is left once `each` is placed.
 double RemainingShare(const VmView& vm, const Resources& each) {
   const Resources left = vm.capacity - vm.granted - each;
   const auto share = [](int64_t part, int64_t whole) {
@@ -39,8 +41,8 @@
   return static_cast<size_t>(best - vms.begin());
 }
 
-// One team's jobs of one urgency that have a task to start, served in turn.
-struct CellOwner::Waiting {
+// One team's jobs of one urgency that have a task to start.
+struct CellOwner::TeamQueue {
   std::vector<RangeLedger*> jobs;
   size_t next = 0;
 };
@@ -55,7 +57,7 @@
                                                  TimePoint now) const {
   std::vector<const VmView*> vms;
   for (const auto& [vm, agent] : agents_) {
-    const bool usable = agent.linked && agent.answered &&
+    const bool usable = agent.linked && agent.inventory_received &&
                         agent.in_durable_roster && !agent.leaving &&
                         now < agent.lease_bound;
     if (!usable || !health_.MayPlace(vm, agent.held.size(), now)) continue;
@@ -65,24 +67,24 @@
   return vms;
 }
 
-bool CellOwner::StartOne(RangeLedger& ledger, TimePoint now) {
+bool CellOwner::StartNextTask(RangeLedger& ledger, TimePoint now) {
   const Resources& each = ledger.job().each;
-  const bool hopeless =
-      std::any_of(unplaceable_.begin(), unplaceable_.end(),
+  const bool unplaceable =
+      std::any_of(unplaceable_sizes_.begin(), unplaceable_sizes_.end(),
                   [&each](const Resources& size) { return each.Holds(size); });
-  if (hopeless) return false;
+  if (unplaceable) return false;
   const auto startable = ledger.NextStartable(now);
   if (!startable) return false;
   const auto vms = Candidates(each, now);
   if (vms.empty()) {
-    unplaceable_.push_back(each);
+    unplaceable_sizes_.push_back(each);
     return false;
   }
   const auto choice = Place(ledger.job(), vms);
   if (!choice) return false;
   Agent& agent = agents_.at(vms[*choice]->vm);
   const Attempt attempt = Attempt::Make(ownership_.epoch, next_sequence_++);
-  Hold(agent, {ledger.job().id, startable->index}, each, now);
+  AddHeldTask(agent, {ledger.job().id, startable->index}, each, now);
   ledger.OnStarted(startable->index, agent.view.vm, attempt);
   starts_[agent.view.vm][ledger.job().id].push_back(
       {startable->index, attempt, startable->checkpoint});
@@ -90,8 +92,8 @@
   return true;
 }
 
-void CellOwner::StartTasksNow(TimePoint now) {
-  unplaceable_.clear();
+void CellOwner::ScheduleTasks(TimePoint now) {
+  unplaceable_sizes_.clear();
   FairOrder order(Capacity(), options_.quota);
   for (auto& [job, ledger] : ranges_) {
     if (ledger.NeedsWiderWindow()) dirty_ = true;
@@ -103,16 +105,16 @@
     order.AddUsage(ledger.job().team, used);
   }
   int budget = kMaxStartsPerTick;
-  StartByTeam(Urgency::kUrgent, order, budget, now);
-  StartByTeam(Urgency::kNormal, order, budget, now);
+  ScheduleTasksOf(Urgency::kUrgent, order, budget, now);
+  ScheduleTasksOf(Urgency::kNormal, order, budget, now);
   FlushStarts();
 }
 
-// The team with the least share starts one task, again and again, until none
-// can. Within a team its jobs take turns.
-void CellOwner::StartByTeam(Urgency urgency, FairOrder& order, int& budget,
-                            TimePoint now) {
-  std::map<std::string, Waiting> teams;
+// Repeatedly starts one task of the team with the smallest dominant share. The
+// jobs of a team are served round robin.
+void CellOwner::ScheduleTasksOf(Urgency urgency, FairOrder& order, int& budget,
+                                TimePoint now) {
+  std::map<std::string, TeamQueue> teams;
   for (auto& [job, ledger] : ranges_) {
     if (ledger.job().urgency != urgency || !ledger.NextStartable(now)) continue;
     if (!health_.MayStart(job, ledger.running(), now)) continue;
@@ -122,13 +124,13 @@
   while (budget > 0) {
     const auto team = order.Next();
     if (!team) return;
-    Waiting& waiting = teams.at(*team);
+    TeamQueue& waiting = teams.at(*team);
     waiting.next = (waiting.next + 1) % waiting.jobs.size();
     RangeLedger& ledger = *waiting.jobs[waiting.next];
     const JobSpec& job = ledger.job();
     const bool started = order.WithinQuota(*team, job.each) &&
                          health_.MayStart(job.id, ledger.running(), now) &&
-                         StartOne(ledger, now);
+                         StartNextTask(ledger, now);
     if (started) {
       --budget;
       order.AddUsage(*team, job.each);
@@ -137,8 +139,8 @@
     }
     if (urgency == Urgency::kUrgent && ledger.NextStartable(now) &&
         order.WithinQuota(*team, job.each)) {
-      MakeRoom(job, ledger.range().size() - ledger.done() - ledger.running(),
-               now);
+      PreemptFor(job, ledger.range().size() - ledger.done() - ledger.running(),
+                 now);
     }
     waiting.jobs.erase(waiting.jobs.begin() +
                        static_cast<std::ptrdiff_t>(waiting.next));
@@ -163,11 +165,11 @@
   const auto it = agents_.find(vm);
   if (it == agents_.end() || report.ended == 0) return;
   VmView& view = it->second.view;
-  if (interference_.samples() >= kSamplesToDecide) {
+  if (interference_.samples() >= kMinInterferenceSamples) {
     const Duration expected = interference_.Predict(view.loads).mean;
     const double ratio = ToMillis(report.latency) / ToMillis(expected);
-    view.pressure +=
-        kPressureWeight * (std::clamp(ratio, 0.5, 3.0) - view.pressure);
+    view.latency_ratio += kLatencyRatioSmoothing *
+                          (std::clamp(ratio, 0.5, 3.0) - view.latency_ratio);
   }
   interference_.Observe(view.loads, report.latency);
 }
@@ -175,7 +177,7 @@
 std::optional<size_t> CellOwner::Place(
     const JobSpec& job, const std::vector<const VmView*>& vms) const {
   const bool learned = options_.weights && options_.latency_target &&
-                       interference_.samples() >= kSamplesToDecide;
+                       interference_.samples() >= kMinInterferenceSamples;
   if (!learned || job.kind != WorkKind::kBatch) {
     return options_.place(job, vms);
   }
@@ -187,25 +189,26 @@
   for (const VmView* vm : vms) {
     const Resources left = vm->capacity - vm->granted;
     loads.push_back(
-        {vm->loads, DominantShare(left, vm->capacity), vm->pressure});
+        {vm->loads, DominantShare(left, vm->capacity), vm->latency_ratio});
   }
   const double share = DominantShare(job.each, vms.front()->capacity);
   const auto choice =
       policy.Choose(job.work_class, share, loads, options_.latency_target());
-  // Urgent work does not wait for a calmer moment.
+  // Urgent tasks don't wait for the service's latency to improve.
   if (!choice && job.urgency == Urgency::kUrgent) {
     return options_.place(job, vms);
   }
   return choice;
 }
 
-// The running batch task that adds the most to the service's latency goes.
+// Evicts the batch task that adds most to the service's latency by its class's
+// weight and its processor share. Urgent tasks are exempt.
 void CellOwner::OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
                               TimePoint now) {
-  Agent* agent = Current(vm, wanted.fence);
+  Agent* agent = FindCurrentAgent(vm, wanted.fence);
   if (agent == nullptr) return;
   const TaskId* victim = nullptr;
-  double most = 0;
+  double greatest_harm = 0;
   for (const auto& [task, held] : agent->held) {
     const auto it = ranges_.find(task.job);
     if (held.stopping || it == ranges_.end()) continue;
@@ -216,17 +219,17 @@
     const double weight =
         std::max(1e-3, ToMillis(interference_.WeightOf(job.work_class)));
     const double harm = weight * static_cast<double>(held.amount.cpu_millis);
-    if (harm <= most) continue;
-    most = harm;
+    if (harm <= greatest_harm) continue;
+    greatest_harm = harm;
     victim = &task;
   }
-  if (victim == nullptr || !TakeEviction(now)) return;
+  if (victim == nullptr || !TakeEvictionToken(now)) return;
   agent->held.at(*victim).stopping = true;
   ++counts_.evictions_ordered;
   Evict(*victim);
 }
 
-bool CellOwner::TakeEviction(TimePoint now) {
+bool CellOwner::TakeEvictionToken(TimePoint now) {
   const auto per_hour = static_cast<double>(options_.evictions_per_hour());
   const double hours =
       std::chrono::duration<double, std::ratio<3600>>(now - eviction_tokens_at_)
@@ -241,20 +244,19 @@
   return true;
 }
 
-// The tasks of one VM to evict so that `each` fits, youngest first, since the
-// youngest lose the least; empty when even all of them would not do.
-std::vector<TaskId> CellOwner::CheapestVictims(const Agent& agent,
-                                               const Resources& each) const {
+// Selects the latest started tasks first, since they lose the least work.
+std::vector<TaskId> CellOwner::PreemptionVictims(const Agent& agent,
+                                                 const Resources& each) const {
   std::vector<std::pair<TimePoint, TaskId>> victims;
   Resources left = agent.view.capacity - agent.view.granted;
   for (const auto& [task, held] : agent.held) {
-    if (held.stopping) return {};  // Room is being made here already.
+    if (held.stopping) return {};  // An eviction is in progress here already.
     const auto it = ranges_.find(task.job);
     if (it == ranges_.end()) continue;
     const JobSpec& job = it->second.job();
-    const bool may_yield =
+    const bool preemptible =
         job.urgency == Urgency::kNormal && job.kind == WorkKind::kBatch;
-    if (may_yield) victims.emplace_back(held.since, task);
+    if (preemptible) victims.emplace_back(held.since, task);
   }
   std::sort(victims.rbegin(), victims.rend());
   std::vector<TaskId> chosen;
@@ -266,17 +268,17 @@
   return left.Holds(each) ? chosen : std::vector<TaskId>{};
 }
 
-void CellOwner::MakeRoom(const JobSpec& job, size_t wanted, TimePoint now) {
-  const auto asked = static_cast<size_t>(std::count_if(
-      making_room_.begin(), making_room_.end(),
+void CellOwner::PreemptFor(const JobSpec& job, size_t wanted, TimePoint now) {
+  const auto evicting = static_cast<size_t>(std::count_if(
+      preempting_.begin(), preempting_.end(),
       [&job](const auto& entry) { return entry.second == job.id; }));
-  wanted = std::min(wanted, kMaxRoomPerJob);
-  for (size_t room = asked; room < wanted; ++room) {
+  wanted = std::min(wanted, kMaxPreemptionsPerJob);
+  for (size_t room = evicting; room < wanted; ++room) {
     std::vector<TaskId> best;
     Agent* best_agent = nullptr;
     for (auto& [vm, agent] : agents_) {
-      if (!agent.linked || !agent.answered) continue;
-      const std::vector<TaskId> victims = CheapestVictims(agent, job.each);
+      if (!agent.linked || !agent.inventory_received) continue;
+      const std::vector<TaskId> victims = PreemptionVictims(agent, job.each);
       if (victims.empty()) continue;
       if (best_agent != nullptr && victims.size() >= best.size()) continue;
       best = victims;
@@ -284,9 +286,9 @@
     }
     if (best_agent == nullptr) return;
     for (const TaskId& task : best) {
-      if (!TakeEviction(now)) return;
+      if (!TakeEvictionToken(now)) return;
       best_agent->held.at(task).stopping = true;
-      making_room_[task] = job.id;
+      preempting_[task] = job.id;
       ++counts_.evictions_ordered;
       Evict(task);
     }
--- a/beamhill/cell/range_ledger.cc
+++ b/beamhill/cell/range_ledger.cc
@@ -5,12 +5,12 @@
 namespace beamhill {
 namespace {
 
-// A task that has failed this often is given up.
+// Failures after which a task is not retried.
 constexpr uint32_t kMaxFailures = 5;
 constexpr Duration kFirstRetryDelay = std::chrono::seconds(1);
 constexpr Duration kMaxRetryDelay = std::chrono::minutes(5);
-// How far ahead of the starts the durable window is moved.
-constexpr uint32_t kWindowLead = 1024;
+// Tasks between the next one to start and the end of a new durable window.
+constexpr uint32_t kWindowLookahead = 1024;
 
 Duration RetryDelay(uint32_t failures) {
   const uint32_t doublings = std::min<uint32_t>(failures - 1, 16);
@@ -96,7 +96,7 @@
 
 bool RangeLedger::NeedsWiderWindow() const {
   if (cancelled_ || durable_window_ >= range_.end) return false;
-  return next_new_ + kWindowLead / 2 >= durable_window_;
+  return next_new_ + kWindowLookahead / 2 >= durable_window_;
 }
 
 void RangeLedger::OnStarted(uint32_t index, const std::string& vm,
@@ -121,20 +121,22 @@
     Finalize(index, &failed_);
     return;
   }
-  QueueUntil(index, record, now + RetryDelay(record.failures));
+  RequeueAt(index, record, now + RetryDelay(record.failures));
 }
 
-// A task that takes its workers down would do so without end, and is never
-// heard to fail. It can't be told from its neighbours here, so it is only
-// started more and more rarely; a single loss costs nobody a wait.
+// A task that crashes its worker is reported as lost, never as failed, and
+// would crash one worker after another. The other tasks on the worker are lost
+// with it and can't be told from the cause, so that a loss doesn't count as a
+// failure. Instead, repeated losses delay the next start with exponential
+// backoff; the first one doesn't.
 void RangeLedger::OnLost(uint32_t index, Record& record, TimePoint now) {
   ++record.losses;
   const bool again = record.losses > 1;
-  QueueUntil(index, record, again ? now + RetryDelay(record.losses - 1) : now);
+  RequeueAt(index, record, again ? now + RetryDelay(record.losses - 1) : now);
 }
 
-void RangeLedger::QueueUntil(uint32_t index, Record& record,
-                             TimePoint not_before) {
+void RangeLedger::RequeueAt(uint32_t index, Record& record,
+                            TimePoint not_before) {
   SetState(index, record, State::kUnknown);
   record.not_before = not_before;
   SetState(index, record, State::kQueued);
@@ -149,8 +151,8 @@
   const auto it = records_.find(index);
   if (it == records_.end()) return effect;
   Record& record = it->second;
-  // Also of an attempt that was resumed since: until that resumption has an
-  // end of its own, this checkpoint is the task's latest progress.
+  // The checkpoint is kept even if the task has been resumed since: until the
+  // later attempt ends, it is the task's latest progress.
   if (outcome.kind == OutcomeKind::kEvicted) KeepCheckpoint(record, outcome);
   const bool is_current = record.state == State::kRunning && record.vm == vm &&
                           record.attempt == outcome.attempt;
@@ -172,8 +174,8 @@
     ++evictions_;
     effect.changed = true;
   }
-  // An unknown task stays unknown: a later attempt may be on a VM that has
-  // not answered.
+  // An unknown task stays unknown: a later attempt may be running on a VM that
+  // is not reconciled.
   if (record.state == State::kUnknown) return effect;
   if (outcome.kind == OutcomeKind::kFailed && is_current) {
     OnFailed(index, record, now);
@@ -198,7 +200,7 @@
     if (record.vm == vm && record.attempt == attempt) return true;
     return false;
   }
-  // A queued task was given up on, for good reasons; the VM's copy must go.
+  // The task was requeued, so the attempt on this VM is obsolete.
   if (record.state == State::kQueued) return false;
   SetState(index, record, State::kRunning);
   record.vm = vm;
@@ -219,12 +221,12 @@
   }
 }
 
-void RangeLedger::SettleUnknown() {
-  std::vector<uint32_t> settled;
+void RangeLedger::RequeueUnknown() {
+  std::vector<uint32_t> resolved;
   for (const auto& [index, record] : records_) {
-    if (record.state == State::kUnknown) settled.push_back(index);
+    if (record.state == State::kUnknown) resolved.push_back(index);
   }
-  for (const uint32_t index : settled) {
+  for (const uint32_t index : resolved) {
     SetState(index, records_.at(index), State::kQueued);
     if (cancelled_) EraseRecord(index);
   }
@@ -248,7 +250,7 @@
   progress.failed = failed_.ranges();
   const uint32_t left = range_.end - next_new_;
   progress.window =
-      std::max(durable_window_, next_new_ + std::min(left, kWindowLead));
+      std::max(durable_window_, next_new_ + std::min(left, kWindowLookahead));
   for (const auto& [index, record] : records_) {
     if (!record.checkpoint.empty()) {
       progress.checkpoints.push_back(
--- a/beamhill/cell/range_ledger_test.cc
+++ b/beamhill/cell/range_ledger_test.cc
@@ -39,16 +39,16 @@
   EXPECT_EQ(ledger.NextStartable(kNow)->index, 2U);
 }
 
-TEST(RangeLedger, TouchesNoInheritedTaskBeforeItIsAccountedFor) {
+TEST(RangeLedger, StartsNoInheritedTaskBeforeItIsReconciled) {
   RangeLedger ledger(Row(3, 3), true, nullptr);
   EXPECT_FALSE(ledger.NextStartable(kNow));
   EXPECT_TRUE(ledger.OnReportedRunning("a", 1, kFirst));
-  ledger.SettleUnknown();
+  ledger.RequeueUnknown();
   EXPECT_EQ(ledger.NextStartable(kNow)->index, 0U);
   EXPECT_EQ(ledger.running(), 1U);
 }
 
-TEST(RangeLedger, AnEvictedTaskResumesFromItsCheckpoint) {
+TEST(RangeLedger, EvictedTaskResumesFromItsCheckpoint) {
   RangeLedger ledger(Row(1, 1), false, nullptr);
   ledger.OnStarted(0, "a", kFirst);
   EXPECT_TRUE(
@@ -59,9 +59,9 @@
   EXPECT_EQ(ledger.Progress().checkpoints.size(), 1U);
 }
 
-// Found by the simulation: the new owner heard first of the resumed run and
-// then of the checkpoint that it had resumed from, and dropped the latter.
-TEST(RangeLedger, KeepsACheckpointThatIsHeardOfAfterItsResumption) {
+// A new owner may receive a resumed attempt first and the checkpoint that it
+// was resumed from second. The checkpoint must be kept all the same.
+TEST(RangeLedger, KeepsCheckpointReportedAfterItsResumption) {
   RangeLedger ledger(Row(1, 1), true, nullptr);
   EXPECT_TRUE(ledger.OnReportedRunning("b", 0, kSecond));
   ledger.OnOutcome("a", Outcome(0, kFirst, OutcomeKind::kEvicted, "c"), kNow);
@@ -70,7 +70,7 @@
   EXPECT_EQ(ledger.NextStartable(kNow)->checkpoint, "c");
 }
 
-TEST(RangeLedger, ALateResultOfAnEarlierAttemptIsTakenAndTheNewerStopped) {
+TEST(RangeLedger, LateResultOfEarlierAttemptCountsAndStopsTheLaterAttempt) {
   RangeLedger ledger(Row(1, 1), false, nullptr);
   ledger.OnStarted(0, "a", kFirst);
   ledger.RequeueUnreported("a", {});
@@ -81,16 +81,16 @@
   EXPECT_TRUE(ledger.IsFinished());
 }
 
-TEST(RangeLedger, AFailingTaskBacksOffAndIsGivenUp) {
+TEST(RangeLedger, FailingTaskIsRetriedWithBackoffAndFailsFinally) {
   RangeLedger ledger(Row(1, 1), false, nullptr);
   TimePoint now = kNow;
   Duration last_wait{};
   for (uint64_t i = 1; i <= 5; ++i) {
     ASSERT_FALSE(ledger.IsFinished());
-    const TimePoint asked = now;
+    const TimePoint wait_start = now;
     while (!ledger.NextStartable(now)) now += std::chrono::milliseconds(100);
-    EXPECT_GE(now - asked, last_wait);
-    if (i > 1) last_wait = now - asked;
+    EXPECT_GE(now - wait_start, last_wait);
+    if (i > 1) last_wait = now - wait_start;
     ledger.OnStarted(0, "a", Attempt::Make(1, i));
     ledger.OnOutcome("a", Outcome(0, Attempt::Make(1, i), OutcomeKind::kFailed),
                      now);
@@ -99,10 +99,10 @@
   EXPECT_EQ(ledger.failed(), 1U);
 }
 
-// A task that takes its workers down never ends as failed. It was queued again
-// at once each time, as if it had been evicted, and lost its neighbours' work
-// with each worker.
-TEST(RangeLedger, ATaskThatIsLostAgainAndAgainIsStartedMoreRarely) {
+// A task that crashes its worker never ends as failed. If it is requeued
+// without delay each time, as after an eviction, it crashes one worker after
+// another, along with the other tasks on them.
+TEST(RangeLedger, RepeatedlyLostTaskIsRetriedWithBackoff) {
   RangeLedger ledger(Row(1, 1), false, nullptr);
   TimePoint now = kNow;
   for (uint64_t i = 1; i <= 8; ++i) {
@@ -116,7 +116,7 @@
   EXPECT_FALSE(ledger.IsFinished());
 }
 
-TEST(RangeLedger, CancelKeepsWhatRunsUntilItHasStopped) {
+TEST(RangeLedger, CancelledRangeIsUnfinishedUntilItsTasksHaveStopped) {
   RangeLedger ledger(Row(3, 3), false, nullptr);
   ledger.OnStarted(0, "a", kFirst);
   ledger.Cancel();
@@ -126,7 +126,7 @@
   EXPECT_TRUE(ledger.IsFinished());
 }
 
-TEST(RangeLedger, ProgressRestoresAsItWas) {
+TEST(RangeLedger, ProgressRestoresTheState) {
   RangeLedger ledger(Row(10, 10), false, nullptr);
   for (uint32_t i = 0; i < 4; ++i) {
     ledger.OnStarted(i, "a", Attempt::Make(1, i + 1));
@@ -137,7 +137,7 @@
       "a", Outcome(2, Attempt::Make(1, 3), OutcomeKind::kEvicted, "c"), kNow);
   const RangeProgress progress = ledger.Progress();
   RangeLedger restored(Row(10, 10), true, &progress);
-  restored.SettleUnknown();
+  restored.RequeueUnknown();
   EXPECT_EQ(restored.done(), 1U);
   std::set<uint32_t> indexes;
   while (const auto next = restored.NextStartable(kNow)) {
