--- a/beamhill/entry/entry_settings.cc
+++ b/beamhill/entry/entry_settings.cc
@@ -29,7 +29,7 @@
                   std::chrono::minutes(10), settings.cell.snapshot_interval);
   if (settings.cell.ownership_term < 2 * settings.cell.agent_term) {
     config.AddError("cell.ownership_term",
-                 "must be at least twice cell.agent_term");
+                    "must be at least twice cell.agent_term");
   }
   const Status status = config.Finish();
   if (!IsOk(status)) return ErrorOf(status);
--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -157,7 +157,7 @@
   PendingRequest& pending = *pending_.at(id);
   const std::string& key = pending.start.idempotency_key;
   auto key_runners =
-      runners_.Keepers(pending.start.service, key, BootClock::now());
+      runners_.KeyReplicas(pending.start.service, key, BootClock::now());
   if (key_runners.empty()) {
     return FinishNotRun(id, "no runner remembers keys for long enough yet");
   }
