--- a/beamhill/replay/fleet_start.h
+++ b/beamhill/replay/fleet_start.h
@@ -1,12 +1,13 @@
-// Starts every process of a deployment at once, in virtual time: the real
-// ownership keepers and VM registrations over a table that takes its time.
+// Fleet start simulation: starts all processes of a deployment at once in
+// virtual time, with the real OwnershipKeepers and VmRegistrations over a
+// TimedTable.
 //
-// Answers what a first start, or the return of power for all, costs by the
-// deployment's size and by how its rows share partitions.
+// Shows how long a first start or a restart after a power failure takes, by the
+// size of the deployment and by the layout of its rows over partitions.
 //
 //   FleetStartOptions options;
 //   options.vms = 800;
-//   const FleetStartOutcome outcome = PlayFleetStart(options);
+//   const FleetStartOutcome outcome = SimulateFleetStart(options);
 #ifndef BEAMHILL_REPLAY_FLEET_START_H_
 #define BEAMHILL_REPLAY_FLEET_START_H_
 
@@ -18,40 +19,41 @@
 
 namespace beamhill {
 
-// What the table holds of the VMs before the start.
-enum class RowsBefore : uint8_t {
-  kNone,        // A first start.
-  kAsTheyWere,  // Power returns; VMs have kept their addresses.
-  kOtherAddresses,
+// VM rows in the table before the start.
+enum class InitialVmRows : uint8_t {
+  kNone,              // First start of the deployment.
+  kUnchanged,         // Restart; VMs have kept their addresses.
+  kChangedAddresses,  // Restart; every VM has another address.
 };
 
 struct FleetStartOptions {
   uint64_t seed = 1;
   size_t schedulers = 184;
   size_t vms = 800;
-  RowsBefore rows_before = RowsBefore::kAsTheyWere;
-  // Processes start at times drawn from this.
-  Duration spread = std::chrono::milliseconds(300);
-  // How long is played.
-  Duration limit = std::chrono::seconds(60);
+  InitialVmRows initial_vm_rows = InitialVmRows::kUnchanged;
+  // Each process starts at a random time within this duration.
+  Duration start_spread = std::chrono::milliseconds(300);
+  // Simulated time after which the simulation stops.
+  Duration time_limit = std::chrono::seconds(60);
   TimedTableOptions table;
 };
 
-// Times count from the start of the first scheduler.
+// Times are measured from the start of the first scheduler.
 struct FleetStartOutcome {
-  // The ownership is held, and what is stored has been read.
-  Duration owner_loaded{};
-  // How many VMs that read showed.
+  // When the first owner has read the stored rows; `time_limit` if it has not.
+  Duration owner_load_time{};
+  // Number of VM rows that it read.
   size_t vms_loaded = 0;
+  // Attempts to claim the ownership.
   size_t claims = 0;
-  // Processes that took the ownership: one, if all goes well.
+  // Times that the ownership was taken; 1 is expected.
   size_t owners = 0;
-  // Every VM's row is as it should be; `limit` if that took longer.
-  Duration all_registered{};
+  // When every VM's row was up to date; `time_limit` if that took longer.
+  Duration registration_time{};
   TimedTableCounts table;
 };
 
-FleetStartOutcome PlayFleetStart(const FleetStartOptions& options);
+FleetStartOutcome SimulateFleetStart(const FleetStartOptions& options);
 
 }  // namespace beamhill
 
--- a/beamhill/replay/fleet_start_main.cc
+++ b/beamhill/replay/fleet_start_main.cc
@@ -1,5 +1,11 @@
-// Prints what a start of everything at once costs, for ways to lay out the VMs'
-// rows: beamhill-fleet-start --schedulers 184 --vms 800.
+// Prints how long a simultaneous start of all processes takes, for several
+// layouts of the VM rows over partitions:
+//
+//   beamhill-fleet-start --schedulers 184 --vms 800
+//
+// Each line shows when the owner had read the stored rows and how many VMs it
+// read, when all VMs were registered, and the ownership claims, transactions
+// and refused calls until then.
 #include <tclap/CmdLine.h>
 
 #include <cstdio>
@@ -12,57 +18,60 @@
 namespace beamhill {
 namespace {
 
-struct Layout {
+struct PartitionLayout {
   const char* name;
   std::function<std::string(const std::string& key)> partition_of;
 };
 
-std::vector<Layout> Layouts() {
-  constexpr size_t kSpreadOver = 16;
-  const TimedTableOptions usual;
-  const auto spread = [usual](const std::string& key) {
-    const std::string partition = usual.partition_of(key);
+std::vector<PartitionLayout> PartitionLayouts() {
+  constexpr size_t kVmPartitions = 16;
+  const TimedTableOptions defaults;
+  const auto spread = [defaults](const std::string& key) {
+    const std::string partition = defaults.partition_of(key);
     if (partition != "vms") return partition;
     return partition +
-           std::to_string(std::hash<std::string>()(key) % kSpreadOver);
+           std::to_string(std::hash<std::string>()(key) % kVmPartitions);
   };
-  return {{"one for all rows", [](const std::string&) { return "all"; }},
-          {"one for the VMs", usual.partition_of},
-          {"16 for the VMs", spread}};
+  return {{"single partition", [](const std::string&) { return "all"; }},
+          {"one for VM rows", defaults.partition_of},
+          {"16 for VM rows", spread}};
 }
 
-void Print(const Layout& layout, const char* before,
+void Print(const PartitionLayout& layout, const char* initial_rows,
            const FleetStartOutcome& outcome) {
   std::printf(
       "%-18s %-16s owner_ms %6.0f vms_read %5zu registered_ms %6.0f claims "
       "%3zu "
       "transactions %5llu refused %5llu\n",
-      layout.name, before, ToMillis(outcome.owner_loaded), outcome.vms_loaded,
-      ToMillis(outcome.all_registered), outcome.claims,
+      layout.name, initial_rows, ToMillis(outcome.owner_load_time),
+      outcome.vms_loaded, ToMillis(outcome.registration_time), outcome.claims,
       static_cast<unsigned long long>(outcome.table.transactions),
       static_cast<unsigned long long>(outcome.table.refused));
 }
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine command("Starts a whole deployment in virtual time.", ' ',
-                         "1");
-  TCLAP::ValueArg<uint64_t> seed("", "seed", "Seed.", false, 1, "n", command);
-  TCLAP::ValueArg<size_t> schedulers("", "schedulers", "Schedulers.", false,
-                                     184, "n", command);
-  TCLAP::ValueArg<size_t> vms("", "vms", "VMs.", false, 800, "n", command);
+  TCLAP::CmdLine command(
+      "Simulates the simultaneous start of all processes of a deployment.", ' ',
+      "1");
+  TCLAP::ValueArg<uint64_t> seed("", "seed", "Seed of the random numbers.",
+                                 false, 1, "n", command);
+  TCLAP::ValueArg<size_t> schedulers("", "schedulers", "Number of schedulers.",
+                                     false, 184, "n", command);
+  TCLAP::ValueArg<size_t> vms("", "vms", "Number of VMs.", false, 800, "n",
+                              command);
   command.parse(argc, argv);
   FleetStartOptions options;
   options.seed = seed.getValue();
   options.schedulers = schedulers.getValue();
   options.vms = vms.getValue();
-  for (const Layout& layout : Layouts()) {
+  for (const PartitionLayout& layout : PartitionLayouts()) {
     options.table.partition_of = layout.partition_of;
-    options.rows_before = RowsBefore::kNone;
-    Print(layout, "first start", PlayFleetStart(options));
-    options.rows_before = RowsBefore::kOtherAddresses;
-    Print(layout, "other addresses", PlayFleetStart(options));
-    options.rows_before = RowsBefore::kAsTheyWere;
-    Print(layout, "rows as they were", PlayFleetStart(options));
+    options.initial_vm_rows = InitialVmRows::kNone;
+    Print(layout, "first start", SimulateFleetStart(options));
+    options.initial_vm_rows = InitialVmRows::kChangedAddresses;
+    Print(layout, "new addresses", SimulateFleetStart(options));
+    options.initial_vm_rows = InitialVmRows::kUnchanged;
+    Print(layout, "unchanged rows", SimulateFleetStart(options));
   }
   return 0;
 }
--- a/beamhill/replay/fleet_start_test.cc
+++ b/beamhill/replay/fleet_start_test.cc
@@ -1,4 +1,5 @@
-// What a start of everything at once costs, by counts and in virtual time.
+// Bounds the time and the number of table calls of a simultaneous start of all
+// processes, in virtual time.
 #include "beamhill/replay/fleet_start.h"
 
 #include <gtest/gtest.h>
@@ -11,10 +12,11 @@
 
 using std::chrono::milliseconds;
 
-// From the first scheduler's start until an owner has read what is stored.
-constexpr Duration kAimed = milliseconds(500);
-// Schedulers that claim a free row at the same moment, in the mean.
-constexpr double kAimedClaims = 2;
+// Target from the first scheduler's start until an owner has read the stored
+// rows, and until all unchanged VMs are registered.
+constexpr Duration kMaxStartupTime = milliseconds(500);
+// Target for the mean number of schedulers that claim a free ownership row.
+constexpr double kMaxMeanClaims = 2;
 
 struct FleetSize {
   size_t schedulers;
@@ -23,46 +25,51 @@
 
 class FleetStartTest : public testing::TestWithParam<FleetSize> {
  protected:
-  FleetStartOptions Options(uint64_t seed, RowsBefore before) const {
+  FleetStartOptions Options(uint64_t seed,
+                            InitialVmRows initial_vm_rows) const {
     FleetStartOptions options;
     options.seed = seed;
     options.schedulers = GetParam().schedulers;
     options.vms = GetParam().vms;
-    options.rows_before = before;
+    options.initial_vm_rows = initial_vm_rows;
     return options;
   }
 };
 
-TEST_P(FleetStartTest, OwnershipDoesNotWaitForTheVmsRegistrations) {
-  for (const RowsBefore before : {RowsBefore::kNone, RowsBefore::kAsTheyWere,
-                                  RowsBefore::kOtherAddresses}) {
-    const auto outcome = PlayFleetStart(Options(1, before));
+TEST_P(FleetStartTest, OwnershipDoesNotWaitForVmRegistrations) {
+  for (const InitialVmRows initial_vm_rows :
+       {InitialVmRows::kNone, InitialVmRows::kUnchanged,
+        InitialVmRows::kChangedAddresses}) {
+    const auto outcome = SimulateFleetStart(Options(1, initial_vm_rows));
     EXPECT_EQ(outcome.owners, 1);
-    EXPECT_LE(outcome.owner_loaded, kAimed) << static_cast<int>(before);
+    EXPECT_LE(outcome.owner_load_time, kMaxStartupTime)
+        << static_cast<int>(initial_vm_rows);
   }
 }
 
-TEST_P(FleetStartTest, VmsThatHaveNotMovedAreAllKnownAtOnce) {
-  const auto outcome = PlayFleetStart(Options(2, RowsBefore::kAsTheyWere));
+TEST_P(FleetStartTest, OwnerLoadsAllUnchangedVmsAtStart) {
+  const auto outcome =
+      SimulateFleetStart(Options(2, InitialVmRows::kUnchanged));
   EXPECT_EQ(outcome.vms_loaded, GetParam().vms);
-  EXPECT_LE(outcome.all_registered, kAimed);
-  // None of their rows is written again.
+  EXPECT_LE(outcome.registration_time, kMaxStartupTime);
+  // No VM writes its row again.
   EXPECT_LE(outcome.table.transactions, GetParam().schedulers);
 }
 
-// After a start, or when a store that was away for all is back.
-TEST_P(FleetStartTest, FewSchedulersThatKnowOfNoOthersClaim) {
+// The case of a simultaneous start, and of the return of a table that was
+// unavailable to all.
+TEST_P(FleetStartTest, FewSchedulersWithoutKnownPeersClaim) {
   constexpr uint64_t kSeeds = 40;
-  for (const Duration spread : {milliseconds(300), milliseconds(50)}) {
+  for (const Duration start_spread : {milliseconds(300), milliseconds(50)}) {
     size_t claims = 0;
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      FleetStartOptions options = Options(seed, RowsBefore::kAsTheyWere);
+      FleetStartOptions options = Options(seed, InitialVmRows::kUnchanged);
       options.vms = 0;
-      options.spread = spread;
-      claims += PlayFleetStart(options).claims;
+      options.start_spread = start_spread;
+      claims += SimulateFleetStart(options).claims;
     }
-    EXPECT_LE(static_cast<double>(claims) / kSeeds, kAimedClaims)
-        << ToMillis(spread);
+    EXPECT_LE(static_cast<double>(claims) / kSeeds, kMaxMeanClaims)
+        << ToMillis(start_spread);
   }
 }
 
--- a/beamhill/replay/timed_table.cc
+++ b/beamhill/replay/timed_table.cc
@@ -30,11 +30,11 @@
   if (!model_.AdmitRead(time_.now())) {
     ++counts_.refused;
     time_.After(options_.latency, [done = std::move(done)] {
-      done(Error{ErrorCode::kUnavailable, "too many reads", ""});
+      done(Error{ErrorCode::kUnavailable, "read rate limit exceeded", ""});
     });
     return;
   }
-  // What it shows is so half-way to its answer.
+  // The read takes effect half a latency before its answer arrives.
   time_.After(options_.latency / 2,
               [this, done = std::move(done), read = std::move(read)] {
                 const std::vector<Row> rows = read();
@@ -48,17 +48,17 @@
   TimePoint& busy_until =
       busy_until_[options_.partition_of(transaction.writes.front().key)];
   busy_until = std::max(busy_until, now);
-  if (busy_until - now > options_.longest_queue) {
+  if (busy_until - now > options_.max_queue_delay) {
     ++counts_.refused;
     time_.After(options_.latency, [done = std::move(done)] {
       done({CommitResult::kNotApplied, {}});
     });
     return;
   }
-  const Duration turn =
+  const Duration write_interval =
       Duration(std::chrono::seconds(1)) /
       static_cast<int64_t>(options_.partition_writes_per_second);
-  busy_until += turn;
+  busy_until += write_interval;
   time_.After(busy_until - now, [this, transaction = std::move(transaction),
                                  done = std::move(done)] {
     const CommitAnswer answer = model_.Commit(transaction);
--- a/beamhill/replay/timed_table.h
+++ b/beamhill/replay/timed_table.h
@@ -1,6 +1,8 @@
-// A Table over the TableModel that takes its time: each partition takes its
-// transactions one after another and refuses more once too many wait, and all
-// reads together have a rate.
+// TimedTable: a Table over a TableModel with simulated latency and limited
+// throughput.
+//
+// Each partition applies its transactions one after another at a fixed rate and
+// refuses them while its queue is too long. Reads share one rate limit.
 //
 //   TimedTable timed(time, TimedTableOptions{});
 //   OwnershipKeeper keeper(options, timed.AsTable(), hooks);
@@ -23,11 +25,11 @@
 struct TimedTableOptions {
   uint64_t reads_per_second = 16000;
   uint64_t partition_writes_per_second = 300;
-  // A call that would wait for longer is refused.
-  Duration longest_queue = std::chrono::seconds(1);
-  // From a call to its answer when nothing waits.
+  // A transaction that would wait for longer is refused.
+  Duration max_queue_delay = std::chrono::seconds(1);
+  // From a call to its answer, without queueing.
   Duration latency = std::chrono::milliseconds(4);
-  // Names the partition of a key.
+  // Returns the name of the partition that holds a key.
   std::function<std::string(const std::string& key)> partition_of =
       [](const std::string& key) {
         return rows::PartitionOf(key) == RowPartition::kVms ? "vms" : "work";
@@ -37,14 +39,14 @@
 struct TimedTableCounts {
   uint64_t reads = 0;
   uint64_t transactions = 0;
-  uint64_t refused = 0;
+  uint64_t refused = 0;  // Reads and transactions.
 };
 
 class TimedTable {
  public:
   TimedTable(VirtualTime& time, TimedTableOptions options);
 
-  // Hooks into this object, which must outlive their use.
+  // Returns hooks that refer to this object, which must outlive them.
   Table AsTable();
   TableModel& model() { return model_; }
   const TimedTableCounts& counts() const { return counts_; }
--- a/beamhill/replay/virtual_time.h
+++ b/beamhill/replay/virtual_time.h
@@ -1,5 +1,7 @@
-// A queue of callbacks in virtual time, for replays that run thousands of
-// seconds in one. Callbacks of one moment run in the order they were added.
+// VirtualTime: a simulated clock with a queue of timed callbacks, which lets a
+// replay simulate thousands of seconds in one second.
+//
+// Callbacks due at the same time run in the order in which they were added.
 //
 //   VirtualTime time(start);
 //   time.After(std::chrono::milliseconds(50), [] { ... });
@@ -21,23 +23,26 @@
   explicit VirtualTime(TimePoint start) : now_(start) {}
 
   TimePoint now() const { return now_; }
-  void After(Duration delay, std::function<void()> call) {
-    calls_.emplace(std::pair(now_ + delay, next_++), std::move(call));
+  // Calls `callback` once, `delay` from now.
+  void After(Duration delay, std::function<void()> callback) {
+    events_.emplace(std::pair(now_ + delay, next_sequence_++),
+                    std::move(callback));
   }
-  // Runs all that falls due up to `end`, which is the time afterwards.
+  // Runs all callbacks due up to and including `end`, also those added
+  // meanwhile, and advances the clock to `end`.
   void RunUntil(TimePoint end) {
-    while (!calls_.empty() && calls_.begin()->first.first <= end) {
-      auto first = calls_.extract(calls_.begin());
-      now_ = first.key().first;
-      first.mapped()();
+    while (!events_.empty() && events_.begin()->first.first <= end) {
+      auto event = events_.extract(events_.begin());
+      now_ = event.key().first;
+      event.mapped()();
     }
     now_ = end;
   }
 
  private:
   TimePoint now_;
-  uint64_t next_ = 0;
-  std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> calls_;
+  uint64_t next_sequence_ = 0;
+  std::map<std::pair<TimePoint, uint64_t>, std::function<void()>> events_;
 };
 
 }  // namespace beamhill
