--- a/beamhill/replay/leased_runner.h
+++ b/beamhill/replay/leased_runner.h
@@ -1,8 +1,9 @@
-// A runner in virtual time that kills what it runs once its lease is over.
+// LeasedRunner: a simulated runner that ends all of its runs when its lease
+// expires.
 //
-// It keeps to what an Executor relies on: it does nothing for a lower epoch, an
-// end is listed until it is settled, a run that was stopped or has ended is not
-// started any more. Its calls are always answered.
+// It keeps the guarantees that an Executor relies on: it rejects calls with a
+// lower epoch than it has seen, lists an end until the end is acknowledged, and
+// never starts a run that was stopped or has ended. It answers every call.
 //
 //   LeasedRunner runner(time, hooks);
 //   Executor executor(options, runner.Hooks(), executor_hooks);
@@ -21,11 +22,12 @@
 namespace beamhill {
 
 struct LeasedRunnerHooks {
-  // How long the task works; zero: until it is stopped.
-  std::function<Duration(const TaskRef& task)> work_of;
+  // Returns the run time of the task; zero: until it is stopped.
+  std::function<Duration(const TaskRef& task)> run_time_of;
   std::function<void(const RunRef& run)> on_start;
   std::function<void(const RunRef& run, RunEndKind kind)> on_end;
-  // The lease is over, with this end listed that nobody has settled.
+  // Called in each tick after the lease has expired, for each end that is not
+  // acknowledged.
   std::function<void(const RunEnd& end)> on_end_lost;
 };
 
@@ -33,29 +35,31 @@
  public:
   LeasedRunner(VirtualTime& time, LeasedRunnerHooks hooks);
 
+  // Returns hooks that refer to this object, which must outlive them.
   TaskRunner Hooks();
-  // Ends what is done, and everything once the lease is over.
+  // Ends the runs whose run time has passed, and all runs once the lease has
+  // expired.
   void Tick();
 
-  // What runs, and since when.
+  // The active runs and their start times.
   const std::map<RunRef, TimePoint>& runs() const { return runs_; }
-  // Ends that nobody has settled.
-  size_t listed_ends() const { return ended_.size(); }
+  size_t unacknowledged_ends() const { return unacknowledged_ends_.size(); }
 
  private:
-  struct WaitingLook {
+  struct PendingPoll {
     uint64_t number = 0;
     uint64_t acknowledged_through = 0;
     std::function<void(RunnerView)> done;
   };
 
   RunnerReply Reply(RunnerVerdict verdict) const;
-  // Whether the epoch is not below one that it has seen.
+  // Returns false if `epoch` is lower than one seen before, and records it
+  // otherwise.
   bool Accepts(uint64_t epoch);
-  void Extend(RunnerClock lease_end);
+  void ExtendLease(RunnerClock lease_end);
   RunnerVerdict Start(const RunnerStart& call);
   RunnerVerdict Stop(const RunnerStop& call);
-  void Look(const RunnerPoll& call,
+  void Poll(const RunnerPoll& call,
             const std::function<void(RunnerView)>& done);
   RunnerView View(uint64_t acknowledged_through);
   void End(const RunRef& run, RunEndKind kind);
@@ -65,11 +69,11 @@
   uint64_t epoch_ = 0;
   RunnerClock lease_end_{};
   std::map<RunRef, TimePoint> runs_;
-  std::map<TaskRef, uint64_t> highest_over_;
-  std::vector<RunEnd> ended_;
+  std::map<TaskRef, uint64_t> highest_ended_run_;
+  std::vector<RunEnd> unacknowledged_ends_;
   uint64_t next_end_ = 1;
-  std::optional<WaitingLook> waiting_;
-  uint64_t next_look_ = 1;
+  std::optional<PendingPoll> pending_poll_;
+  uint64_t next_poll_ = 1;
 };
 
 }  // namespace beamhill
--- a/beamhill/replay/outage_replay.cc
+++ b/beamhill/replay/outage_replay.cc
@@ -21,27 +21,29 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
-constexpr UnixMillis kUnix{1'000'000};
-// As in the processes: ticks, the times of a message and of a transaction, how
-// long an owner may act without one, and how often VMs are asked again.
+constexpr UnixMillis kUnixStart{1'000'000};
+// Tick intervals as in the real processes, the simulated latencies of a message
+// and of a table transaction, how long an owner may act without a confirmed
+// transaction, and the interval of attach retries.
 constexpr Duration kOwnerTick = milliseconds(50);
 constexpr Duration kExecutorTick = milliseconds(100);
 constexpr Duration kRunnerTick = milliseconds(20);
-constexpr Duration kMessageTime = milliseconds(1);
-constexpr Duration kCommitTime = milliseconds(6);
+constexpr Duration kMessageLatency = milliseconds(1);
+constexpr Duration kCommitLatency = milliseconds(6);
 constexpr Duration kAuthorityTerm = seconds(8);
 constexpr Duration kAttachInterval = milliseconds(1500);
-constexpr Duration kLongestBrokenLink = seconds(4);
-// From the cancellation until nothing runs, the stop itself included.
+constexpr Duration kMaxLinkOutage = seconds(4);
+// Requirement for the time from a cancellation until its last run has ended,
+// including the time that a stop takes.
 constexpr Duration kStopBound = kCancelLimit + milliseconds(400);
-constexpr Resources kSize{64000, 64000, 0};
+constexpr Resources kVmCapacity{64000, 64000, 0};
 
 class OutageReplay {
  public:
   explicit OutageReplay(const OutageLoad& load)
       : load_(load), random_(load.seed), time_(kStart) {}
 
-  OutageOutcome Play() {
+  OutageOutcome Run() {
     for (uint32_t i = 0; i < load_.vms; ++i) AddVm("vm-" + std::to_string(i));
     TakeOver();
     Repeat(kOwnerTick, [this] { Tick(); });
@@ -51,22 +53,25 @@
     });
     Repeat(kRunnerTick, [this] {
       for (auto& [name, vm] : vms_) vm.runner->Tick();
-      Check();
+      CheckCancelledRuns();
     });
     Repeat(kExecutorTick, [this] {
       for (auto& [name, vm] : vms_) vm.executor->Tick();
     });
-    Often(seconds(1), [this] { Submit(/*lasting=*/false); });
-    Often(seconds(3), [this] { Submit(/*lasting=*/true); });
-    Often(seconds(2), [this] { CancelSome(); });
-    Often(load_.between_outages, [this] { BeginOutage(); });
-    Often(load_.between_broken_links, [this] { BreakLink(); });
-    Often(load_.between_restarts, [this] { RestartExecutor(); });
-    Often(load_.between_owners, [this] {
-      if (table_up_) TakeOver();
+    RepeatAtRandom(seconds(1), [this] { Submit(/*long_running=*/false); });
+    RepeatAtRandom(seconds(3), [this] { Submit(/*long_running=*/true); });
+    RepeatAtRandom(seconds(2), [this] { CancelRandomJob(); });
+    RepeatAtRandom(load_.mean_time_between_outages,
+                   [this] { StartTableOutage(); });
+    RepeatAtRandom(load_.mean_time_between_link_failures,
+                   [this] { FailLink(); });
+    RepeatAtRandom(load_.mean_time_between_executor_restarts,
+                   [this] { RestartExecutor(); });
+    RepeatAtRandom(load_.mean_time_between_takeovers, [this] {
+      if (table_available_) TakeOver();
     });
-    time_.RunUntil(kStart + load_.trouble + load_.calm);
-    CheckEnd();
+    time_.RunUntil(kStart + load_.fault_duration + load_.recovery_duration);
+    CheckFinalState();
     return std::move(outcome_);
   }
 
@@ -74,29 +79,33 @@
   struct VmNode {
     std::unique_ptr<LeasedRunner> runner;
     std::unique_ptr<Executor> executor;
-    // Counts its links; what was sent on an earlier one is lost.
+    // Number of the current link. Messages sent on an earlier link are dropped.
     uint64_t link = 0;
     bool linked = false;
-    TimePoint calm_since{};
+    // Time of the last change of the link or of the owner's authority.
+    TimePoint stable_since{};
   };
   struct Job {
     Workflow workflow;
-    Duration work{};
+    Duration run_time{};
     bool cancel_stored = false;
-    std::optional<TimePoint> cancelled_at;  // When its owner knew.
-    std::set<TaskRef> done;
+    std::optional<TimePoint> cancel_known_at;  // When an owner learned of it.
+    std::set<TaskRef> done_tasks;
   };
 
   double Uniform() {
     return std::uniform_real_distribution<double>(0, 1)(random_);
   }
-  uint32_t Draw(uint32_t least, uint32_t most) {
-    return std::uniform_int_distribution<uint32_t>(least, most)(random_);
+  uint32_t UniformInt(uint32_t min_value, uint32_t max_value) {
+    return std::uniform_int_distribution<uint32_t>(min_value,
+                                                   max_value)(random_);
   }
-  Duration DrawUpTo(Duration most) {
-    return std::chrono::duration_cast<Duration>(Uniform() * Seconds(most));
+  Duration UniformDuration(Duration max_value) {
+    return std::chrono::duration_cast<Duration>(Uniform() * Seconds(max_value));
+  }
+  bool InFaultPhase() const {
+    return time_.now() - kStart < load_.fault_duration;
   }
-  bool InTrouble() const { return time_.now() - kStart < load_.trouble; }
 
   void Repeat(Duration interval, const std::function<void()>& call) {
     time_.After(interval, [this, interval, call] {
@@ -104,41 +113,41 @@
       Repeat(interval, call);
     });
   }
-  // At drawn times while there is trouble.
-  void Often(Duration mean, const std::function<void()>& call) {
+  // Calls `call` at exponentially distributed intervals during the fault phase.
+  void RepeatAtRandom(Duration mean, const std::function<void()>& call) {
     if (mean <= Duration(0)) return;
     const double gap = std::exponential_distribution<double>(
         1 / Seconds(mean).count())(random_);
     time_.After(std::chrono::duration_cast<Duration>(Seconds(gap)),
                 [this, mean, call] {
-                  if (!InTrouble()) return;
+                  if (!InFaultPhase()) return;
                   call();
-                  Often(mean, call);
+                  RepeatAtRandom(mean, call);
                 });
   }
-  void Broken(const std::string& what) {
-    if (std::find(outcome_.broken.begin(), outcome_.broken.end(), what) ==
-        outcome_.broken.end()) {
-      outcome_.broken.push_back(what);
+  void Report(const std::string& violation) {
+    if (std::find(outcome_.violations.begin(), outcome_.violations.end(),
+                  violation) == outcome_.violations.end()) {
+      outcome_.violations.push_back(violation);
     }
   }
 
-  // The VMs.
   void AddVm(const std::string& name) {
     LeasedRunnerHooks hooks;
-    hooks.work_of = [this](const TaskRef& task) {
-      return jobs_.at(task.workflow).work;
+    hooks.run_time_of = [this](const TaskRef& task) {
+      return jobs_.at(task.workflow).run_time;
     };
     hooks.on_start = [this](const RunRef& run) { OnStart(run); };
     hooks.on_end = [this](const RunRef& run, RunEndKind kind) {
       if (kind == RunEndKind::kDone) {
-        jobs_.at(run.task.workflow).done.insert(run.task);
+        jobs_.at(run.task.workflow).done_tasks.insert(run.task);
       }
     };
-    // The task may run again then.
+    // The task may run again: its end was not acknowledged before the lease
+    // expired.
     hooks.on_end_lost = [this](const RunEnd& end) {
       if (end.kind != RunEndKind::kDone) return;
-      jobs_.at(end.run.task.workflow).done.erase(end.run.task);
+      jobs_.at(end.run.task.workflow).done_tasks.erase(end.run.task);
     };
     vms_[name].runner = std::make_unique<LeasedRunner>(time_, std::move(hooks));
     StartExecutor(name);
@@ -148,9 +157,9 @@
     ExecutorHooks hooks;
     hooks.now = [this] { return time_.now(); };
     hooks.send = [this, name](uint64_t link, const DispatchMessage& message) {
-      time_.After(kMessageTime, [this, name, link, message] {
+      time_.After(kMessageLatency, [this, name, link, message] {
         const VmNode& vm = vms_.at(name);
-        if (vm.linked && vm.link == link) OnVm(name, message);
+        if (vm.linked && vm.link == link) OnVmMessage(name, message);
       });
     };
     hooks.log = [](const std::string&, const std::string&, const std::string&) {
@@ -159,15 +168,15 @@
     vm.executor = std::make_unique<Executor>(ExecutorOptions{},
                                              vm.runner->Hooks(), hooks);
     VmStatus status;
-    status.incarnation = name + "-life";
+    status.incarnation = name + "-incarnation";
     status.service = "web";
-    status.capacity = kSize;
+    status.capacity = kVmCapacity;
     vm.executor->OnRunnerRegistered(status,
                                     std::chrono::duration_cast<RunnerClock>(
                                         time_.now().time_since_epoch()));
   }
 
-  void Unlink(const std::string& name) {
+  void DisconnectLink(const std::string& name) {
     VmNode& vm = vms_.at(name);
     if (!vm.linked) return;
     vm.linked = false;
@@ -175,30 +184,32 @@
     vm.executor->OnLinkDown(vm.link);
   }
 
-  void Link(const std::string& name) {
+  void ConnectLink(const std::string& name) {
     VmNode& vm = vms_.at(name);
     if (vm.linked) return;
     ++vm.link;
     vm.linked = true;
-    vm.calm_since = time_.now();
+    vm.stable_since = time_.now();
     owner_->OnLinkUp(name);
     Flush();
   }
 
-  void BreakLink() {
-    const std::string name = "vm-" + std::to_string(Draw(0, load_.vms - 1));
-    Unlink(name);
-    time_.After(DrawUpTo(kLongestBrokenLink), [this, name] { Link(name); });
+  void FailLink() {
+    const std::string name =
+        "vm-" + std::to_string(UniformInt(0, load_.vms - 1));
+    DisconnectLink(name);
+    time_.After(UniformDuration(kMaxLinkOutage),
+                [this, name] { ConnectLink(name); });
   }
 
   void RestartExecutor() {
-    const std::string name = "vm-" + std::to_string(Draw(0, load_.vms - 1));
-    Unlink(name);
+    const std::string name =
+        "vm-" + std::to_string(UniformInt(0, load_.vms - 1));
+    DisconnectLink(name);
     StartExecutor(name);
-    time_.After(milliseconds(300), [this, name] { Link(name); });
+    time_.After(milliseconds(300), [this, name] { ConnectLink(name); });
   }
 
-  // The owner and the table.
   void TakeOver() {
     for (auto& [name, vm] : vms_) {
       vm.linked = false;
@@ -211,70 +222,72 @@
     }
     owner_ = Dispatcher::Create(options, nullptr, time_.now());
     for (auto& [id, job] : jobs_) {
-      const auto stored = stored_.find(id);
+      const auto stored = progress_.find(id);
       owner_->AddWorkflow(job.workflow,
-                          stored == stored_.end()
+                          stored == progress_.end()
                               ? std::nullopt
                               : std::optional(stored->second),
                           time_.now());
-      if (job.cancel_stored) CancelAtOwner(id, job);
+      if (job.cancel_stored) CancelInDispatcher(id, job);
     }
     confirmed_at_ = time_.now();
-    for (const auto& [name, vm] : vms_) Link(name);
+    for (const auto& [name, vm] : vms_) ConnectLink(name);
   }
 
   bool MayAct() const { return time_.now() - confirmed_at_ < kAuthorityTerm; }
 
   void Tick() {
     const TimePoint now = time_.now();
-    if (table_up_) confirmed_at_ = now;
-    NoteAuthority();
+    if (table_available_) confirmed_at_ = now;
+    UpdateAuthority();
     owner_->OnConfirmed(confirmed_at_);
-    owner_->Tick(now,
-                 kUnix + std::chrono::duration_cast<UnixMillis>(now - kStart));
+    owner_->Tick(
+        now, kUnixStart + std::chrono::duration_cast<UnixMillis>(now - kStart));
     if (const auto commit = owner_->TakeCommit(now)) {
-      time_.After(kCommitTime, [this, commit = *commit, epoch = epoch_] {
-        OnStored(commit, epoch);
+      time_.After(kCommitLatency, [this, commit = *commit, epoch = epoch_] {
+        OnCommitDone(commit, epoch);
       });
     }
     Flush();
   }
 
-  void NoteAuthority() {
+  void UpdateAuthority() {
     const bool may_act = MayAct();
     owner_->SetAuthority(may_act ? Authority::kFull : Authority::kNone,
                          time_.now());
     if (may_act == had_authority_) return;
     had_authority_ = may_act;
-    for (auto& [name, vm] : vms_) vm.calm_since = time_.now();
+    for (auto& [name, vm] : vms_) vm.stable_since = time_.now();
   }
 
-  // One that is on its way as the table goes away is answered once it is back.
-  void OnStored(const DispatchCommit& commit, uint64_t epoch) {
+  // A commit in flight when the table becomes unavailable is answered after the
+  // outage.
+  void OnCommitDone(const DispatchCommit& commit, uint64_t epoch) {
     if (epoch != epoch_) return;
-    if (!table_up_) {
-      when_back_.push_back([this, commit, epoch] { OnStored(commit, epoch); });
+    if (!table_available_) {
+      when_table_returns_.push_back(
+          [this, commit, epoch] { OnCommitDone(commit, epoch); });
       return;
     }
-    for (const auto& [id, record] : commit.progress) stored_[id] = record;
+    for (const auto& [id, record] : commit.progress) progress_[id] = record;
     owner_->OnCommitted();
     Flush();
   }
 
-  void BeginOutage() {
-    if (!table_up_) return;
-    table_up_ = false;
-    time_.After(DrawUpTo(load_.longest_outage), [this] {
-      table_up_ = true;
-      for (const auto& call : std::exchange(when_back_, {})) call();
+  void StartTableOutage() {
+    if (!table_available_) return;
+    table_available_ = false;
+    time_.After(UniformDuration(load_.max_outage), [this] {
+      table_available_ = true;
+      for (const auto& call : std::exchange(when_table_returns_, {})) call();
     });
   }
 
-  void OnVm(const std::string& name, const DispatchMessage& message) {
+  void OnVmMessage(const std::string& name, const DispatchMessage& message) {
     const TimePoint now = time_.now();
-    NoteAuthority();
-    if (const auto* beat = std::get_if<VmHeartbeat>(&message)) {
-      owner_->OnHeartbeat(name, *beat, now);
+    UpdateAuthority();
+    if (const auto* heartbeat = std::get_if<VmHeartbeat>(&message)) {
+      owner_->OnHeartbeat(name, *heartbeat, now);
     } else if (const auto* status = std::get_if<VmStatus>(&message)) {
       owner_->OnStatus(name, *status, now);
     } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
@@ -289,7 +302,7 @@
     for (const VmMessage& out : owner_->TakeMessages()) {
       const VmNode& vm = vms_.at(out.vm);
       if (!vm.linked) continue;
-      time_.After(kMessageTime,
+      time_.After(kMessageLatency,
                   [this, name = out.vm, link = vm.link, message = out.message] {
                     const VmNode& node = vms_.at(name);
                     if (node.linked && node.link == link) {
@@ -299,37 +312,36 @@
     }
   }
 
-  // The callers.
-  void Submit(bool lasting) {
-    if (!table_up_) return;
+  void Submit(bool long_running) {
+    if (!table_available_) return;
     Job job;
     Workflow& workflow = job.workflow;
-    workflow.id =
-        (lasting ? "lasting-" : "quick-") + std::to_string(jobs_.size());
+    workflow.id = (long_running ? "long-running-" : "quick-") +
+                  std::to_string(jobs_.size());
     workflow.queue = "q";
     workflow.service = "web";
     workflow.offered_to_epoch = epoch_;
     workflow.policy.max_attempts = 3;
     workflow.steps.resize(1);
-    workflow.steps[0].tasks = Draw(1, 4);
-    workflow.steps[0].each = {lasting ? 800 : 300, 100, 0};
-    workflow.steps[0].long_running = lasting;
+    workflow.steps[0].tasks = UniformInt(1, 4);
+    workflow.steps[0].each = {long_running ? 800 : 300, 100, 0};
+    workflow.steps[0].long_running = long_running;
     workflow.steps[0].declared_run = seconds(1);
-    if (!lasting) job.work = milliseconds(Draw(200, 1500));
+    if (!long_running) job.run_time = milliseconds(UniformInt(200, 1500));
     owner_->AddWorkflow(workflow, std::nullopt, time_.now());
     jobs_[workflow.id] = std::move(job);
   }
 
-  // Callers repeat it until the table is back.
-  void CancelSome() {
+  // Callers retry a cancellation until the table is available.
+  void CancelRandomJob() {
     auto it = jobs_.begin();
     if (jobs_.empty()) return;
-    std::advance(it, Draw(0, static_cast<uint32_t>(jobs_.size()) - 1));
+    std::advance(it, UniformInt(0, static_cast<uint32_t>(jobs_.size()) - 1));
     const std::string id = it->first;
-    if (table_up_) {
+    if (table_available_) {
       StoreCancel(id);
     } else {
-      when_back_.push_back([this, id] { StoreCancel(id); });
+      when_table_returns_.push_back([this, id] { StoreCancel(id); });
     }
   }
 
@@ -339,71 +351,71 @@
     job.cancel_stored = true;
     ++outcome_.cancelled;
     if (!MayAct()) ++outcome_.cancelled_without_authority;
-    CancelAtOwner(id, job);
+    CancelInDispatcher(id, job);
     Flush();
   }
 
-  void CancelAtOwner(const std::string& id, Job& job) {
+  void CancelInDispatcher(const std::string& id, Job& job) {
     owner_->Cancel(id, time_.now());
-    if (!job.cancelled_at) job.cancelled_at = time_.now();
+    if (!job.cancel_known_at) job.cancel_known_at = time_.now();
   }
 
-  // The promises.
+  // Checks that no task is started while it runs or after it has completed.
   void OnStart(const RunRef& run) {
     ++outcome_.runs;
     const Job& job = jobs_.at(run.task.workflow);
-    if (job.done.count(run.task) > 0) {
-      Broken(run.task.ToString() + " is started after it was done");
+    if (job.done_tasks.count(run.task) > 0) {
+      Report(run.task.ToString() + " is started after it has completed");
     }
     for (const auto& [name, vm] : vms_) {
       for (const auto& [other, since] : vm.runner->runs()) {
         if (other.task == run.task && other.run != run.run) {
-          Broken(run.task.ToString() + " runs twice");
+          Report(run.task.ToString() + " has two concurrent runs");
         }
       }
     }
   }
 
-  void Check() {
+  void CheckCancelledRuns() {
     for (const auto& [name, vm] : vms_) {
       if (!vm.linked || !had_authority_) continue;
       for (const auto& [run, since] : vm.runner->runs()) {
         const Job& job = jobs_.at(run.task.workflow);
-        if (!job.cancelled_at) continue;
-        const TimePoint from = std::max(*job.cancelled_at, vm.calm_since);
+        if (!job.cancel_known_at) continue;
+        const TimePoint from = std::max(*job.cancel_known_at, vm.stable_since);
         if (time_.now() - from > kStopBound) {
-          Broken(run.task.ToString() + " runs on though it is cancelled");
+          Report(run.task.ToString() + " still runs after its cancellation");
         }
       }
     }
   }
 
-  void CheckEnd() {
-    std::map<TaskRef, int> at_work;
+  void CheckFinalState() {
+    std::map<TaskRef, int> running;
     for (const auto& [name, vm] : vms_) {
-      if (vm.runner->listed_ends() > 0) {
-        Broken(name + " has ends that nobody settled");
+      if (vm.runner->unacknowledged_ends() > 0) {
+        Report(name + " has unacknowledged ends");
       }
-      for (const auto& [run, since] : vm.runner->runs()) ++at_work[run.task];
+      for (const auto& [run, since] : vm.runner->runs()) ++running[run.task];
     }
-    for (const auto& [id, job] : jobs_) CheckJobEnd(id, job, at_work);
+    for (const auto& [id, job] : jobs_) CheckFinalJob(id, job, running);
     const DispatchSummary summary = owner_->Summary(time_.now());
-    if (summary.stops > 0) Broken("stops are open at the owner");
-    if (!owner_->Orphans(time_.now()).empty()) Broken("runs are orphaned");
+    if (summary.stops > 0) Report("the owner has unfinished stops");
+    if (!owner_->Orphans(time_.now()).empty()) Report("orphaned runs are left");
   }
 
-  void CheckJobEnd(const std::string& id, const Job& job,
-                   const std::map<TaskRef, int>& at_work) {
+  void CheckFinalJob(const std::string& id, const Job& job,
+                     const std::map<TaskRef, int>& running) {
     const WorkflowStep& step = job.workflow.steps[0];
     for (uint32_t i = 0; i < step.tasks; ++i) {
       const TaskRef task{id, 0, 0, i};
-      const bool works = at_work.count(task) > 0;
+      const bool is_running = running.count(task) > 0;
       if (job.cancel_stored) {
-        if (works) Broken(task.ToString() + " is left of a cancelled job");
+        if (is_running) Report(task.ToString() + " runs though cancelled");
       } else if (step.long_running) {
-        if (!works) Broken(task.ToString() + " is to last and does not run");
+        if (!is_running) Report(task.ToString() + " does not run");
       } else if (owner_->StateOf(id) != WorkflowState::kCompleted) {
-        Broken(id + " does not end");
+        Report(id + " has not completed");
       }
     }
   }
@@ -415,10 +427,11 @@
   std::unique_ptr<Dispatcher> owner_;
   std::map<std::string, VmNode> vms_;
   std::map<std::string, Job> jobs_;
-  std::map<std::string, ProgressRecord> stored_;
-  bool table_up_ = true;
-  // What the table does as soon as it is back.
-  std::vector<std::function<void()>> when_back_;
+  // Progress rows as stored in the table, by workflow.
+  std::map<std::string, ProgressRecord> progress_;
+  bool table_available_ = true;
+  // Calls to make when the table is available again.
+  std::vector<std::function<void()>> when_table_returns_;
   TimePoint confirmed_at_{};
   bool had_authority_ = true;
   OutageOutcome outcome_;
@@ -426,8 +439,8 @@
 
 }  // namespace
 
-OutageOutcome PlayOutages(const OutageLoad& load) {
-  return OutageReplay(load).Play();
+OutageOutcome RunOutageReplay(const OutageLoad& load) {
+  return OutageReplay(load).Run();
 }
 
 }  // namespace beamhill
--- a/beamhill/replay/outage_replay_test.cc
+++ b/beamhill/replay/outage_replay_test.cc
@@ -10,19 +10,19 @@
 
 constexpr uint64_t kSeeds = 60;
 
-// Work that was cancelled while the table was away ran on for good, since the
-// owner decided the stop without the authority to send it.
-TEST(OutageReplayTest, NothingOutlivesItsCancellation) {
+// Guards against work that is cancelled during a table outage and never stops:
+// the owner decides on the stop while it has no authority to send it.
+TEST(OutageReplayTest, CancelledWorkStopsDespiteOutages) {
   size_t without_authority = 0;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     OutageLoad load;
     load.seed = seed;
-    const OutageOutcome outcome = PlayOutages(load);
-    EXPECT_THAT(outcome.broken, IsEmpty()) << "seed " << seed;
+    const OutageOutcome outcome = RunOutageReplay(load);
+    EXPECT_THAT(outcome.violations, IsEmpty()) << "seed " << seed;
     EXPECT_GT(outcome.runs, 0);
     without_authority += outcome.cancelled_without_authority;
   }
-  // So that the case is among those that are played.
+  // Ensures that the seeds cover cancellations without authority.
   EXPECT_GT(without_authority, kSeeds / 4);
 }
 
