--- a/beamhill/replay/leaving_runner_test.cc
+++ b/beamhill/replay/leaving_runner_test.cc
@@ -1,8 +1,9 @@
-// A run ended as done on a runner that left two milliseconds later. Its
-// executor had heard of the end while no owner was linked to it, did not keep
-// it, and asked the runner again once one was: by then nobody answered. 0.6 s
-// later the runner counted as gone with an empty inventory, and the owner
-// started the task once more.
+// Guards against the loss of a run's end when its runner leaves 2 ms after it.
+//
+// If an executor without a link to an owner drops an end that it has polled,
+// and polls the runner again only when an owner is linked, the runner no longer
+// answers. It is considered gone 0.6 s later, the inventory is empty, and the
+// owner starts the completed task again.
 #include "beamhill/replay/owner_and_vm_test_base.h"
 
 namespace beamhill {
@@ -12,23 +13,23 @@
 
 using LeavingRunnerTest = OwnerAndVmTest;
 
-TEST_F(LeavingRunnerTest, EndThatWasHeardWithoutAnOwnerIsNotLost) {
+TEST_F(LeavingRunnerTest, EndPolledWithoutAnOwnerIsNotLost) {
   TakeOver(1);
   for (int i = 0; i < 10 && !started_; ++i) {
-    Exchange();
-    AnswerLooks({});
+    ExchangeMessages();
+    AnswerPolls({});
   }
   ASSERT_TRUE(started_);
   AnswerStarts();
   executor_->OnLinkDown(1);
-  to_owner_.clear();
-  AnswerLooks({{1, kRun, RunEndKind::kDone, ""}});
-  executor_->OnRunnerLeaving("vm-1-life");
+  messages_to_owner_.clear();
+  AnswerPolls({{1, kRun, RunEndKind::kDone, ""}});
+  executor_->OnRunnerLeaving("vm-1-incarnation");
   TakeOver(2);
   LinkVm2();
   for (int i = 0; i < 60; ++i) {
-    Exchange();
-    AnswerLooks({}, /*gone=*/true);
+    ExchangeMessages();
+    AnswerPolls({}, /*gone=*/true);
   }
   EXPECT_FALSE(started_again_);
   EXPECT_EQ(owner_->StateOf("w"), WorkflowState::kCompleted);
--- a/beamhill/replay/owner_and_vm_test_base.h
+++ b/beamhill/replay/owner_and_vm_test_base.h
@@ -1,10 +1,11 @@
-// An owner and one VM in virtual time: a real Dispatcher and a real Executor
-// whose runner answers as the test says, and a second VM that only has room.
+// OwnerAndVmTest: test fixture with a real Dispatcher as the owner and one VM,
+// vm-1, with a real Executor whose runner's answers the test controls. A second
+// VM, vm-2, has no executor; it sends heartbeats and can be given tasks.
 //
 //   TEST_F(OwnerAndVmTest, ...) {
 //     TakeOver(1);
-//     Exchange();
-//     AnswerLooks({});
+//     ExchangeMessages();
+//     AnswerPolls({});
 //   }
 #ifndef BEAMHILL_REPLAY_OWNER_AND_VM_TEST_BASE_H_
 #define BEAMHILL_REPLAY_OWNER_AND_VM_TEST_BASE_H_
@@ -28,18 +29,18 @@
   OwnerAndVmTest() {
     TaskRunner runner;
     runner.start = [this](const RunnerStart&, auto done) {
-      starts_.push_back(done);
+      pending_starts_.push_back(done);
       started_ = true;
     };
     runner.stop = [](const RunnerStop&, auto) {};
     runner.pace = [](const RunnerPace&, auto) {};
     runner.poll = [this](const RunnerPoll&, auto done) {
-      looks_.push_back(done);
+      pending_polls_.push_back(done);
     };
     ExecutorHooks hooks;
     hooks.now = [this] { return now_; };
     hooks.send = [this](uint64_t, const DispatchMessage& message) {
-      to_owner_.push_back(message);
+      messages_to_owner_.push_back(message);
     };
     hooks.log = [](const std::string&, const std::string&, const std::string&) {
     };
@@ -49,13 +50,13 @@
 
   static VmStatus StatusOf(const std::string& vm) {
     VmStatus status;
-    status.incarnation = vm + "-life";
+    status.incarnation = vm + "-incarnation";
     status.service = "web";
     status.capacity = {8000, 16000, 0};
     return status;
   }
 
-  static Workflow OneTask() {
+  static Workflow SingleTaskWorkflow() {
     Workflow workflow;
     workflow.id = "w";
     workflow.service = "web";
@@ -73,7 +74,7 @@
     options.epoch = epoch;
     if (epoch > 1) options.inherited_vms = {"vm-1", "vm-2"};
     owner_ = Dispatcher::Create(options, nullptr, now_);
-    owner_->AddWorkflow(OneTask(), std::nullopt, now_);
+    owner_->AddWorkflow(SingleTaskWorkflow(), std::nullopt, now_);
     owner_->OnLinkUp("vm-1");
   }
 
@@ -84,15 +85,16 @@
   }
 
   void AnswerStarts() {
-    for (auto& done : std::exchange(starts_, {})) {
+    for (auto& done : std::exchange(pending_starts_, {})) {
       done(RunnerReply{RunnerVerdict::kDone, RunnerClock(1)});
     }
   }
 
-  // Answers the open looks; nobody does once the runner is gone.
-  void AnswerLooks(const std::vector<RunEnd>& ended, bool gone = false,
+  // Answers the pending polls with `ended` and `running`, or as unreachable if
+  // the runner is `gone`.
+  void AnswerPolls(const std::vector<RunEnd>& ended, bool gone = false,
                    const std::vector<RunRef>& running = {}) {
-    for (auto& done : std::exchange(looks_, {})) {
+    for (auto& done : std::exchange(pending_polls_, {})) {
       RunnerView view;
       for (const RunRef& run : running) view.running.push_back({run, 50, 0});
       view.reply.verdict =
@@ -103,12 +105,13 @@
     }
   }
 
-  // One round of messages between the owner and vm-1, and a tick of each.
-  void Exchange() {
+  // Advances the time by 50 ms, delivers the messages between the owner and
+  // vm-1, and ticks both.
+  void ExchangeMessages() {
     now_ += std::chrono::milliseconds(50);
-    for (const auto& message : std::exchange(to_owner_, {})) {
-      if (const auto* beat = std::get_if<VmHeartbeat>(&message)) {
-        owner_->OnHeartbeat("vm-1", *beat, now_);
+    for (const auto& message : std::exchange(messages_to_owner_, {})) {
+      if (const auto* heartbeat = std::get_if<VmHeartbeat>(&message)) {
+        owner_->OnHeartbeat("vm-1", *heartbeat, now_);
       } else if (const auto* inventory = std::get_if<VmInventory>(&message)) {
         owner_->OnInventory("vm-1", *inventory, now_);
       } else if (const auto* reports = std::get_if<RunReports>(&message)) {
@@ -130,11 +133,11 @@
   TimePoint now_{std::chrono::hours(1)};
   std::unique_ptr<Executor> executor_;
   std::unique_ptr<Dispatcher> owner_;
-  std::vector<std::function<void(RunnerReply)>> starts_;
-  std::vector<std::function<void(RunnerView)>> looks_;
-  std::vector<DispatchMessage> to_owner_;
-  bool started_ = false;
-  bool started_again_ = false;
+  std::vector<std::function<void(RunnerReply)>> pending_starts_;
+  std::vector<std::function<void(RunnerView)>> pending_polls_;
+  std::vector<DispatchMessage> messages_to_owner_;
+  bool started_ = false;        // On vm-1.
+  bool started_again_ = false;  // On vm-2.
 };
 
 }  // namespace beamhill
