--- a/beamhill/replay/crash_replay.cc
+++ b/beamhill/replay/crash_replay.cc
@@ -47,8 +47,7 @@
     Repeat(kOwnerTick, [this] { Tick(); });
     if (load_.owner_change_interval > Duration(0)) {
       Repeat(load_.owner_change_interval, [this] {
-        if (SinceStart() < load_.arrival_duration + load_.drain_duration / 2)
-          TakeOver();
+        if (Elapsed() < load_.arrival_phase + load_.drain_phase / 2) TakeOver();
       });
     }
     for (uint32_t i = 0; i < load_.services; ++i) SubmitService(i);
@@ -59,7 +58,7 @@
     ScheduleArrival();
     ScheduleRunnerLoss();
     for (uint32_t i = 0; i < load_.unstable_vms; ++i) ScheduleUnstableLoss(i);
-    time_.RunUntil(kStart + load_.arrival_duration + load_.drain_duration);
+    time_.RunUntil(kStart + load_.arrival_phase + load_.drain_phase);
     return Finish();
   }
 
@@ -91,7 +90,7 @@
     return std::uniform_int_distribution<uint32_t>(min_value,
                                                    max_value)(random_);
   }
-  Duration SinceStart() const { return time_.now() - kStart; }
+  Duration Elapsed() const { return time_.now() - kStart; }
 
   void Repeat(Duration interval, const std::function<void()>& call) {
     time_.After(interval, [this, interval, call] {
@@ -198,7 +197,7 @@
     const TimePoint now = time_.now();
     owner_->OnConfirmed(now);
     owner_->Tick(
-        now, kUnixStart + std::chrono::duration_cast<UnixMillis>(SinceStart()));
+        now, kUnixStart + std::chrono::duration_cast<UnixMillis>(Elapsed()));
     if (const auto commit = owner_->TakeCommit(now)) {
       time_.After(kCommitLatency, [this, commit = *commit, epoch = epoch_] {
         // The fence rejects the commit of an owner that has been replaced.
@@ -291,7 +290,7 @@
 
   void ScheduleArrival() {
     time_.After(DrawInterval(load_.workflows_per_s), [this] {
-      if (SinceStart() > load_.arrival_duration) return;
+      if (Elapsed() > load_.arrival_phase) return;
       SubmitQuick();
       ScheduleArrival();
     });
@@ -307,7 +306,7 @@
   void ScheduleRunnerLoss() {
     if (load_.unrelated_losses_per_s <= 0) return;
     time_.After(DrawInterval(load_.unrelated_losses_per_s), [this] {
-      if (SinceStart() > load_.arrival_duration) return;
+      if (Elapsed() > load_.arrival_phase) return;
       CrashRunner(UniformInt(0, load_.vms - 1), load_.downtime);
       ScheduleRunnerLoss();
     });
@@ -317,7 +316,7 @@
     const auto uptime = std::chrono::duration_cast<Duration>(
         kUnstableMeanUptime * (0.5 + Uniform()));
     time_.After(kUnstableDowntime + uptime, [this, number] {
-      if (SinceStart() > load_.arrival_duration) return;
+      if (Elapsed() > load_.arrival_phase) return;
       CrashRunner(number, kUnstableDowntime);
       ScheduleUnstableLoss(number);
     });
--- a/beamhill/replay/crash_replay.h
+++ b/beamhill/replay/crash_replay.h
@@ -27,9 +27,9 @@
   uint64_t seed = 1;
   uint32_t vms = 11;
   int64_t vm_cpu_millis = 18000;
-  Duration arrival_duration = std::chrono::seconds(40);
-  // Simulated after the last arrival.
-  Duration drain_duration = std::chrono::seconds(60);
+  Duration arrival_phase = std::chrono::seconds(40);
+  // Time after the arrival phase, in which work can end.
+  Duration drain_phase = std::chrono::seconds(60);
   double workflows_per_s = 7;
   uint32_t services = 8;  // Of six long-running tasks each.
 
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -78,7 +78,7 @@
     for (uint32_t i = 0; i < load_.serving_steps; ++i) SubmitServing(i);
     ScheduleArrival(load_.best_effort_work, /*best_effort=*/true);
     ScheduleArrival(load_.quick_work, /*best_effort=*/false);
-    time_.RunUntil(kStart + load_.arrival_duration + load_.drain_duration);
+    time_.RunUntil(kStart + load_.arrival_phase + load_.drain_phase);
     return Finish();
   }
 
@@ -153,11 +153,11 @@
     task.cpu_millis = step.each.cpu_millis;
     task.memory_mib = step.each.memory_mib;
     task.tail_target = step.tail_target;
-    task.is_long_running = step.long_running;
+    task.long_running = step.long_running;
     task.saves_checkpoint = step.saves_progress;
-    if (task.is_long_running) return task;
-    task.full_pace_time = simulated_workflows_.at(workflow.id)
-                              .run_times[run.task.step][run.task.index];
+    if (task.long_running) return task;
+    task.work = simulated_workflows_.at(workflow.id)
+                    .run_times[run.task.step][run.task.index];
     const auto& failing =
         simulated_workflows_.at(workflow.id).failing[run.task.step];
     task.fails = run.run == 1 && failing.count(run.task.index) > 0;
@@ -273,7 +273,7 @@
     const Seconds gap(std::exponential_distribution<double>(rate)(random_));
     const auto wait = std::chrono::duration_cast<Duration>(gap);
     time_.After(wait, [this, &kind, best_effort] {
-      if (time_.now() - kStart > load_.arrival_duration) return;
+      if (time_.now() - kStart > load_.arrival_phase) return;
       SubmitWorkflow(kind, best_effort);
       ScheduleArrival(kind, best_effort);
     });
@@ -315,7 +315,7 @@
         static_cast<uint32_t>(
             std::lround(kind.steps * LognormalFactor(kCpuSigma))),
         1, 5);
-    SimulatedWorkflow simulated;
+    SimulatedWorkflow drawn;
     Duration critical_path{};
     for (uint32_t i = 0; i < steps; ++i) {
       const auto run_time = std::chrono::duration_cast<Duration>(
@@ -326,31 +326,30 @@
       step.saves_progress = saves_checkpoint;
       if (best_effort) step.image = image;
       if (i > 0) step.after = {i - 1};
-      simulated.run_times.emplace_back(step.tasks, run_time);
-      simulated.failing.emplace_back();
+      drawn.run_times.emplace_back(step.tasks, run_time);
+      drawn.failing.emplace_back();
       for (uint32_t task = 0; best_effort && task < step.tasks; ++task) {
-        if (Uniform() < load_.failing_fraction)
-          simulated.failing.back().insert(task);
+        if (Uniform() < load_.failure_rate) drawn.failing.back().insert(task);
       }
       const int64_t wave =
           load_.vms * load_.vm.cpu_millis / kWaveCapacityDivisor;
       const int64_t waves =
           (step.each.cpu_millis * step.tasks + wave - 1) / wave;
       critical_path +=
-          run_time * (waves + (simulated.failing.back().empty() ? 0 : 1));
-      simulated.outcome.core_seconds +=
-          step.tasks * Seconds(run_time).count() *
-          static_cast<double>(step.each.cpu_millis) / kMillisOfCore;
+          run_time * (waves + (drawn.failing.back().empty() ? 0 : 1));
+      drawn.outcome.core_seconds += step.tasks * Seconds(run_time).count() *
+                                    static_cast<double>(step.each.cpu_millis) /
+                                    kMillisOfCore;
       workflow.steps.push_back(std::move(step));
     }
-    simulated.outcome.id = workflow.id;
-    simulated.outcome.best_effort = best_effort;
-    simulated.outcome.arrival_time = time_.now() - kStart;
-    simulated.outcome.objective =
+    drawn.outcome.id = workflow.id;
+    drawn.outcome.best_effort = best_effort;
+    drawn.outcome.arrival_time = time_.now() - kStart;
+    drawn.outcome.objective =
         std::chrono::duration_cast<Duration>(critical_path * kind.stretch) +
         kind.target_latency;
     workflows_[workflow.id] = workflow;
-    simulated_workflows_[workflow.id] = std::move(simulated);
+    simulated_workflows_[workflow.id] = std::move(drawn);
     unfinished_.insert(workflow.id);
     owner_->AddWorkflow(workflow, std::nullopt, time_.now());
     ScheduleTick();
@@ -421,7 +420,7 @@
       outcome.best_effort_core_seconds += vm.runner->best_effort_core_seconds();
     }
     outcome.serving_seconds =
-        Seconds(load_.arrival_duration + load_.drain_duration).count() *
+        Seconds(load_.arrival_phase + load_.drain_phase).count() *
         load_.serving_steps * load_.serving_tasks;
     outcome.counts = owner_->counts();
     outcome.owner_wall_seconds = owner_wall_seconds_;
--- a/beamhill/replay/load_replay.h
+++ b/beamhill/replay/load_replay.h
@@ -46,9 +46,9 @@
   uint64_t seed = 1;
   uint32_t vms = 15;
   Resources vm{37000, 128000, 0};
-  Duration arrival_duration = std::chrono::seconds(30);
-  // Simulated after the last arrival.
-  Duration drain_duration = std::chrono::seconds(14);
+  Duration arrival_phase = std::chrono::seconds(30);
+  // Time after the arrival phase, in which work can end.
+  Duration drain_phase = std::chrono::seconds(14);
 
   WorkloadKind best_effort_work{1.7,
                                 2,
@@ -90,7 +90,7 @@
   // Fractions of the best-effort workflows that save checkpoints, and of the
   // best-effort tasks whose first run fails.
   double checkpointing_fraction = 0.85;
-  double failing_fraction = 0.04;
+  double failure_rate = 0.04;
   // Drops the owner's notices of a less cautious pace policy, so that executors
   // always throttle best-effort tasks cautiously.
   bool always_cautious = false;
--- a/beamhill/replay/load_replay_test.cc
+++ b/beamhill/replay/load_replay_test.cc
@@ -24,7 +24,7 @@
   ReplayLoad load;
   load.seed = seed;
   load.best_effort_work.arrivals_per_s = demand * kFullDemandArrivalsPerS;
-  load.arrival_duration = seconds(60);
+  load.arrival_phase = seconds(60);
   load.burst_factor = 1;
   return load;
 }
@@ -41,19 +41,19 @@
 // occupied all VMs.
 TEST(LoadReplayTest, WorkflowsProgressAt120PercentDemand) {
   ReplayLoad load = BestEffortLoad(1.2, 1);
-  load.drain_duration = seconds(60);
+  load.drain_phase = seconds(60);
   ExpectProgress(load);
 }
 
 TEST(LoadReplayTest, WorkflowsProgressAtTwiceTheCapacity) {
   ReplayLoad load = BestEffortLoad(2, 2);
-  load.drain_duration = seconds(120);
+  load.drain_phase = seconds(120);
   ExpectProgress(load);
 }
 
 TEST(LoadReplayTest, WorkflowsProgressAtFiveTimesTheCapacity) {
   ReplayLoad load = BestEffortLoad(5, 3);
-  load.drain_duration = seconds(330);
+  load.drain_phase = seconds(330);
   ExpectProgress(load);
 }
 
@@ -66,7 +66,7 @@
   // Neither memory nor reserved processors may be the limit.
   load.serving_resources.memory_mib = 5000;
   load.quick_work.arrivals_per_s = 1;
-  load.drain_duration = seconds(300);
+  load.drain_phase = seconds(300);
   ExpectProgress(load);
 }
 
@@ -74,7 +74,7 @@
   ReplayLoad load = BestEffortLoad(1, 5);
   load.serving_steps = 3;
   load.serving_tasks = 15;
-  load.drain_duration = seconds(120);
+  load.drain_phase = seconds(120);
   ExpectProgress(load);
 }
 
@@ -83,7 +83,7 @@
   load.best_effort_work.arrivals_per_s /= 2;
   load.best_effort_work.tasks = 80;
   load.best_effort_work.resources.cpu_millis = 5600;
-  load.drain_duration = seconds(180);
+  load.drain_phase = seconds(180);
   ExpectProgress(load);
 }
 
--- a/beamhill/replay/replay_main.cc
+++ b/beamhill/replay/replay_main.cc
@@ -49,9 +49,9 @@
   TCLAP::ValueArg<double> burst_factor(
       "", "burst", "Factor of the best-effort arrival rate during the burst.",
       false, 1.4, "factor", command);
-  TCLAP::ValueArg<double> arrival_duration(
+  TCLAP::ValueArg<double> arrival_phase(
       "", "traffic", "Duration of the arrivals.", false, 30, "s", command);
-  TCLAP::ValueArg<double> drain_duration(
+  TCLAP::ValueArg<double> drain_phase(
       "", "drain", "Duration of the replay after the last arrival.", false, 14,
       "s", command);
   command.parse(argc, argv);
@@ -65,15 +65,15 @@
     load.quick_work.arrivals_per_s = quick.getValue();
     load.serving_steps = serving.getValue();
     load.burst_factor = burst_factor.getValue();
-    load.arrival_duration = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(arrival_duration.getValue()));
-    load.drain_duration = std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(drain_duration.getValue()));
+    load.arrival_phase = std::chrono::duration_cast<Duration>(
+        std::chrono::duration<double>(arrival_phase.getValue()));
+    load.drain_phase = std::chrono::duration_cast<Duration>(
+        std::chrono::duration<double>(drain_phase.getValue()));
     const ReplayOutcome outcome = RunLoadReplay(load);
     Print(load.seed, outcome);
     score_sum += outcome.Score(true);
     const double replay_seconds =
-        arrival_duration.getValue() + drain_duration.getValue();
+        arrival_phase.getValue() + drain_phase.getValue();
     for (const auto& [operation, seconds] : outcome.owner_wall_seconds) {
       owner_load[operation] +=
           seconds / replay_seconds / static_cast<double>(seeds.getValue());
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -114,10 +114,9 @@
 }
 
 int ReplayRunner::PercentDone(const Run& run) {
-  if (run.task.is_long_running || run.task.full_pace_time <= Duration(0))
-    return kPercent;
+  if (run.task.long_running || run.task.work <= Duration(0)) return kPercent;
   const double total_seconds =
-      std::chrono::duration<double>(run.task.full_pace_time).count();
+      std::chrono::duration<double>(run.task.work).count();
   return static_cast<int>(kPercent * run.done_seconds / total_seconds);
 }
 
@@ -148,9 +147,8 @@
     if (run.task.best_effort) {
       demand += cpu * run.percent / kPercent;
     } else {
-      free -=
-          cpu *
-          (run.task.is_long_running ? workload_model_.serving_utilization : 1);
+      free -= cpu *
+              (run.task.long_running ? workload_model_.serving_utilization : 1);
     }
   }
   return demand <= free ? 1 : std::max(free, 0.0) / demand;
@@ -176,8 +174,8 @@
       best_effort_core_seconds_ += used / kMillisOfCore * seconds;
     }
     const double total_seconds =
-        std::chrono::duration<double>(run.task.full_pace_time).count();
-    if (!run.task.is_long_running && run.done_seconds >= total_seconds) {
+        std::chrono::duration<double>(run.task.work).count();
+    if (!run.task.long_running && run.done_seconds >= total_seconds) {
       finished.emplace_back(
           ref, run.task.fails ? RunEndKind::kFailed : RunEndKind::kDone);
     }
--- a/beamhill/replay/replay_runner.h
+++ b/beamhill/replay/replay_runner.h
@@ -31,8 +31,8 @@
   bool best_effort = false;
   int64_t cpu_millis = 0;
   int64_t memory_mib = 0;
-  Duration full_pace_time{};  // Zero for long-running tasks.
-  bool is_long_running = false;
+  Duration work{};  // At full pace; zero for long-running tasks.
+  bool long_running = false;
   Duration tail_target{};         // Of a serving task.
   bool saves_checkpoint = false;  // And resumes from it.
   bool fails = false;             // This run ends as failed.
--- a/beamhill/replay/target_violation_test.cc
+++ b/beamhill/replay/target_violation_test.cc
@@ -23,7 +23,7 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 constexpr uint64_t kLink = 1;
-constexpr int kServingTasks = 4;
+constexpr int kServices = 4;
 constexpr int kBestEffortTasks = 3;
 constexpr Duration kTarget = milliseconds(18);
 constexpr Duration kBaseTail = milliseconds(5);
@@ -84,12 +84,12 @@
     task.memory_mib = 1000;
     if (IsServing(run)) {
       task.cpu_millis = 12000;
-      task.is_long_running = true;
+      task.long_running = true;
       task.tail_target = kTarget;
     } else {
       task.cpu_millis = 7000;
       task.best_effort = true;
-      task.full_pace_time = milliseconds(1700);
+      task.work = milliseconds(1700);
     }
     return task;
   }
@@ -167,7 +167,7 @@
     executor_->OnMessage(kLink, Renewal());
     executor_->OnMessage(kLink, PacePolicyNotice{epoch_, policy_});
     InterferenceWeights weights_message{epoch_, {}};
-    for (int s = 0; s < kServingTasks; ++s) {
+    for (int s = 0; s < kServices; ++s) {
       for (int f = 0; f < kBestEffortTasks; ++f) {
         weights_message.weights.push_back(
             {"s" + std::to_string(s), "f" + std::to_string(f),
@@ -178,8 +178,7 @@
   }
 
   void StartTasks() {
-    for (int s = 0; s < kServingTasks && next_run_ == 1; ++s)
-      StartTask("s", s, 1);
+    for (int s = 0; s < kServices && next_run_ == 1; ++s) StartTask("s", s, 1);
     for (int f = 0; f < kBestEffortTasks; ++f) StartTask("f", f, next_run_);
     ++next_run_;
   }
