--- a/beamhill/agent/agent_core.cc
+++ b/beamhill/agent/agent_core.cc
@@ -73,7 +73,7 @@
     OnStartTasks(entry, *starts, now);
   } else if (const auto* stops = std::get_if<StopTasks>(&message)) {
     OnStopTasks(entry, *stops);
-  } else if (const auto* settled = std::get_if<Settled>(&message)) {
+  } else if (const auto* settled = std::get_if<AcknowledgeOutcomes>(&message)) {
     OnSettled(entry, *settled);
   }
 }
@@ -215,7 +215,7 @@
   }
 }
 
-void AgentCore::OnSettled(const std::string& entry, const Settled& settled) {
+void AgentCore::OnSettled(const std::string& entry, const AcknowledgeOutcomes& settled) {
   if (!IsCurrent(entry, settled.fence) || !epoch_confirmed_) return;
   for (const StopTask& key : settled.tasks) {
     const auto it = outcomes_.find(key.task);
--- a/beamhill/agent/agent_core.h
+++ b/beamhill/agent/agent_core.h
@@ -169,7 +169,7 @@
   void OnStartTasks(const std::string& entry, const StartTasks& starts,
                     TimePoint now);
   void OnStopTasks(const std::string& entry, const StopTasks& stops);
-  void OnSettled(const std::string& entry, const Settled& settled);
+  void OnSettled(const std::string& entry, const AcknowledgeOutcomes& settled);
   void StartOne(const JobSpec& job, const StartTask& start, TimePoint now);
   void Refuse(const TaskId& task, Attempt attempt, const std::string& reason);
   void AnswerInventory();
--- a/beamhill/agent/agent_core_test.cc
+++ b/beamhill/agent/agent_core_test.cc
@@ -185,7 +185,7 @@
   const auto messages = core_->TakeMessages();
   ASSERT_EQ(messages.size(), 1U);
   EXPECT_EQ(std::get<Inventory>(messages[0].message).outcomes.size(), 1U);
-  core_->OnMessage("f", Settled{fence, {{{"j", 0}, attempt}}}, kStart);
+  core_->OnMessage("f", AcknowledgeOutcomes{fence, {{{"j", 0}, attempt}}}, kStart);
   EXPECT_EQ(core_->unsettled(), 0U);
 }
 
@@ -242,7 +242,7 @@
       kStart);
   fence_ = Fence{2, core_->OnLinkUp("e")};
   core_->OnMessage("e", InventoryRequest{"c", false, 1, fence_}, kStart);
-  core_->OnMessage("e", Settled{fence_, {{{"j", 0}, attempt}}}, kStart);
+  core_->OnMessage("e", AcknowledgeOutcomes{fence_, {{{"j", 0}, attempt}}}, kStart);
   EXPECT_EQ(core_->unsettled(), 1U);
 }
 
--- a/beamhill/cell/cell_owner.cc
+++ b/beamhill/cell/cell_owner.cc
@@ -283,7 +283,7 @@
 
 void CellOwner::SendSettled(Agent& agent, std::vector<StopTask> tasks) {
   if (tasks.empty()) return;
-  Send(agent, Settled{FenceFor(agent), std::move(tasks)});
+  Send(agent, AcknowledgeOutcomes{FenceFor(agent), std::move(tasks)});
 }
 
 void CellOwner::Hold(Agent& agent, const TaskId& task, const Resources& amount,
--- a/beamhill/cell/cell_owner_test.cc
+++ b/beamhill/cell/cell_owner_test.cc
@@ -343,7 +343,7 @@
   const auto settled = [this] {
     size_t count = 0;
     for (const AgentMessage& message : owner_->TakeMessages()) {
-      const auto* settled = std::get_if<Settled>(&message.message);
+      const auto* settled = std::get_if<AcknowledgeOutcomes>(&message.message);
       if (settled != nullptr) count += settled->tasks.size();
     }
     return count;
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -56,7 +56,7 @@
       return std::tie(v.fence, v.mode, v.tasks);
     } else if constexpr (std::is_same_v<U, Outcomes>) {
       return std::tie(v.fence, v.outcomes);
-    } else if constexpr (std::is_same_v<U, Settled>) {
+    } else if constexpr (std::is_same_v<U, AcknowledgeOutcomes>) {
       return std::tie(v.fence, v.tasks);
     } else if constexpr (std::is_same_v<U, OwnerLost>) {
       return std::tie(v.epoch);
--- a/beamhill/messages/codec_test.cc
+++ b/beamhill/messages/codec_test.cc
@@ -35,7 +35,7 @@
       StartTasks{kFence, job, {{4, {8}, "ck"}}},
       StopTasks{kFence, StopMode::kEvict, {{{"j", 1}, {5}}}},
       Outcomes{kFence, {outcome}},
-      Settled{kFence, {{{"j", 1}, {5}}}},
+      AcknowledgeOutcomes{kFence, {{{"j", 1}, {5}}}},
       OwnerLost{4},
       RunnerReport{1, 8, 3, Duration(5), true},
       RequestStart{
--- a/beamhill/messages/messages.h
+++ b/beamhill/messages/messages.h
@@ -129,7 +129,7 @@
 };
 
 // Owner to agent: these outcomes are durable and may be forgotten.
-struct Settled {
+struct AcknowledgeOutcomes {
   Fence fence;
   std::vector<StopTask> tasks;
 };
@@ -223,7 +223,7 @@
 
 using Message =
     std::variant<Hello, Welcome, Heartbeat, Grant, InventoryRequest, Inventory,
-                 StartTasks, StopTasks, Outcomes, Settled, OwnerLost,
+                 StartTasks, StopTasks, Outcomes, AcknowledgeOutcomes, OwnerLost,
                  RunnerReport, RequestStart, RequestCancel, ResponseStart,
                  ResponseBytes, ResponseEnd, SettingsInForce, YieldWanted,
                  KeyClaim, KeyClaimed, KeyRelease>;
--- a/beamhill/testing/sim_nodes.cc
+++ b/beamhill/testing/sim_nodes.cc
@@ -330,7 +330,7 @@
   for (EntryMessage& message : core_->TakeMessages()) {
     if (defect_ == SimDefect::kSettledBeforeDurable) {
       if (const auto* out = std::get_if<Outcomes>(&message.message)) {
-        Settled settled{core_->current_fence(), {}};
+        AcknowledgeOutcomes settled{core_->current_fence(), {}};
         for (const TaskOutcome& outcome : out->outcomes) {
           settled.tasks.push_back({outcome.task, outcome.attempt});
         }
