--- a/beamhill/agent/agent_core.cc
+++ b/beamhill/agent/agent_core.cc
@@ -357,7 +357,7 @@
       CommandThrottle();
       return;
     case YieldStep::kEvict:
-      SendToOwner(YieldWanted{CurrentFence()});
+      SendToOwner(BatchEvictionRequest{CurrentFence()});
       return;
   }
 }
--- a/beamhill/cell/cell_host.cc
+++ b/beamhill/cell/cell_host.cc
@@ -58,7 +58,7 @@
     owner_->OnOutcomes(vm, *outcomes, now);
   } else if (const auto* report = std::get_if<RunnerReport>(&message)) {
     owner_->OnRunnerReport(vm, *report);
-  } else if (const auto* wanted = std::get_if<YieldWanted>(&message)) {
+  } else if (const auto* wanted = std::get_if<BatchEvictionRequest>(&message)) {
     owner_->OnYieldWanted(vm, *wanted, now);
   }
 }
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -142,7 +142,7 @@
   // What the VM's runner reports of its service.
   void OnRunnerReport(const std::string& vm, const RunnerReport& report);
   // The VM's agent finds that throttling is not enough.
-  void OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
+  void OnYieldWanted(const std::string& vm, const BatchEvictionRequest& wanted,
                      TimePoint now);
   // The platform's list shows the VM, as leaving or not. It gets no new tasks
   // while it is leaving.
--- a/beamhill/cell/cell_scheduling.cc
+++ b/beamhill/cell/cell_scheduling.cc
@@ -200,7 +200,7 @@
 }
 
 // The running batch task that adds the most to the service's latency goes.
-void CellOwner::OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
+void CellOwner::OnYieldWanted(const std::string& vm, const BatchEvictionRequest& wanted,
                               TimePoint now) {
   Agent* agent = Current(vm, wanted.fence);
   if (agent == nullptr) return;
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -75,7 +75,7 @@
       return std::tie(v.id, v.outcome, v.reason);
     } else if constexpr (std::is_same_v<U, SettingsInForce>) {
       return std::tie(v.revision, v.values);
-    } else if constexpr (std::is_same_v<U, YieldWanted>) {
+    } else if constexpr (std::is_same_v<U, BatchEvictionRequest>) {
       return std::tie(v.fence);
     } else if constexpr (std::is_same_v<U, KeyClaim>) {
       return std::tie(v.id, v.key);
--- a/beamhill/messages/codec_test.cc
+++ b/beamhill/messages/codec_test.cc
@@ -45,7 +45,7 @@
       ResponseBytes{1, std::string("\0\xfe", 2)},
       ResponseEnd{1, RequestOutcome::kNotRun, "r"},
       SettingsInForce{8, {{"a", "b"}}},
-      YieldWanted{kFence},
+      BatchEvictionRequest{kFence},
       KeyClaim{1, "k"},
       KeyClaimed{1, true},
       KeyRelease{"k"}};
--- a/beamhill/messages/messages.h
+++ b/beamhill/messages/messages.h
@@ -217,7 +217,7 @@
 
 // Agent to the owner of its cell: throttling the VM's batch tasks has not
 // brought its service under the target; one of them should go.
-struct YieldWanted {
+struct BatchEvictionRequest {
   Fence fence;
 };
 
@@ -225,7 +225,7 @@
     std::variant<Hello, Welcome, Heartbeat, Grant, InventoryRequest, Inventory,
                  StartTasks, StopTasks, Outcomes, AcknowledgeOutcomes, OwnerLost,
                  RunnerReport, RequestStart, RequestCancel, ResponseStart,
-                 ResponseBytes, ResponseEnd, SettingsInForce, YieldWanted,
+                 ResponseBytes, ResponseEnd, SettingsInForce, BatchEvictionRequest,
                  KeyClaim, KeyClaimed, KeyRelease>;
 
 }  // namespace beamhill
