--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -165,7 +165,7 @@
     if (gate_) gate_->OnKeyRelease(*release);
   } else if (const auto* cancel = std::get_if<RequestCancel>(&message)) {
     if (gate_) gate_->OnCancel(entry.name, *cancel);
-  } else if (const auto* settings = std::get_if<SettingsInForce>(&message)) {
+  } else if (const auto* settings = std::get_if<ActiveSettings>(&message)) {
     OnSettings(*settings);
   } else {
     core_->OnMessage(entry.name, message, BootClock::now());
@@ -182,7 +182,7 @@
   it->second.link->Send(frame);
 }
 
-void Agent::OnSettings(const SettingsInForce& settings) {
+void Agent::OnSettings(const ActiveSettings& settings) {
   if (settings.revision <= settings_revision_) return;
   settings_revision_ = settings.revision;
   in_force_.clear();
@@ -192,7 +192,7 @@
   Log(LogLevel::kInfo, "settings_in_force", {{"revision", settings_revision_}});
 }
 
-SettingsInForce Agent::SettingsNow() const {
+ActiveSettings Agent::SettingsNow() const {
   return {settings_revision_, {in_force_.begin(), in_force_.end()}};
 }
 
--- a/beamhill/agent/agent.h
+++ b/beamhill/agent/agent.h
@@ -73,8 +73,8 @@
   void OnClose(EntryLink& entry);
   void OnFrame(EntryLink& entry, std::string_view frame);
   void Send(const std::string& entry, const Message& message);
-  void OnSettings(const SettingsInForce& settings);
-  SettingsInForce SettingsNow() const;
+  void OnSettings(const ActiveSettings& settings);
+  ActiveSettings SettingsNow() const;
   void Flush();
   void ListWorker();
   void Tick();
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -174,7 +174,7 @@
   router_.OnMessage(vm, message);
   const auto it = agents_.find(vm);
   if (it == agents_.end()) return;
-  if (const auto* settings = std::get_if<SettingsInForce>(&message)) {
+  if (const auto* settings = std::get_if<ActiveSettings>(&message)) {
     AdoptSettings(it->second, *settings);
     return;
   }
@@ -241,7 +241,7 @@
 
 // An accepted setting stays in force although this entry has started anew and
 // the table does not answer: agents carry it over.
-void Entry::AdoptSettings(const Hello& hello, const SettingsInForce& settings) {
+void Entry::AdoptSettings(const Hello& hello, const ActiveSettings& settings) {
   const std::string node = HallNode(hello.region, hello.hall);
   const uint64_t known =
       std::max(settings_store_.tree().revision(), adopted_[node]);
@@ -274,13 +274,13 @@
   const auto adopted = adopted_.find(node);
   if (adopted != adopted_.end() && adopted->second > tree.revision()) {
     const SettingValues& values = halls_.at(node);
-    links_->Send(hello.vm, SettingsInForce{adopted->second,
+    links_->Send(hello.vm, ActiveSettings{adopted->second,
                                            {values.begin(), values.end()}});
     return;
   }
   if (tree.revision() == 0) return;
   links_->Send(hello.vm,
-               SettingsInForce{tree.revision(), tree.EffectiveValues(node)});
+               ActiveSettings{tree.revision(), tree.EffectiveValues(node)});
 }
 
 void Entry::Drain() {
--- a/beamhill/entry/entry.h
+++ b/beamhill/entry/entry.h
@@ -64,7 +64,7 @@
   // The host of the agent's cell, made when the cell is new here.
   CellHost& HostOf(const Hello& hello);
   void RefreshHalls();
-  void AdoptSettings(const Hello& hello, const SettingsInForce& settings);
+  void AdoptSettings(const Hello& hello, const ActiveSettings& settings);
   void OnHello(const Hello& hello);
   void OnDown(const Hello& hello);
   void OnMessage(const std::string& vm, const Message& message);
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -73,7 +73,7 @@
       return std::tie(v.id, v.bytes);
     } else if constexpr (std::is_same_v<U, ResponseEnd>) {
       return std::tie(v.id, v.outcome, v.reason);
-    } else if constexpr (std::is_same_v<U, SettingsInForce>) {
+    } else if constexpr (std::is_same_v<U, ActiveSettings>) {
       return std::tie(v.revision, v.values);
     } else if constexpr (std::is_same_v<U, BatchEvictionRequest>) {
       return std::tie(v.fence);
--- a/beamhill/messages/codec_test.cc
+++ b/beamhill/messages/codec_test.cc
@@ -44,7 +44,7 @@
       ResponseStart{1, 200, {{"A", "b"}}},
       ResponseBytes{1, std::string("\0\xfe", 2)},
       ResponseEnd{1, RequestOutcome::kNotRun, "r"},
-      SettingsInForce{8, {{"a", "b"}}},
+      ActiveSettings{8, {{"a", "b"}}},
       BatchEvictionRequest{kFence},
       KeyClaim{1, "k"},
       KeyClaimed{1, true},
--- a/beamhill/messages/messages.h
+++ b/beamhill/messages/messages.h
@@ -193,7 +193,7 @@
 
 // Entry to agent: the settings in force in the agent's hall. Agent to entry,
 // when it is welcomed: the same, as the agent last heard.
-struct SettingsInForce {
+struct ActiveSettings {
   uint64_t revision = 0;
   std::vector<std::pair<std::string, std::string>> values;
 };
@@ -225,7 +225,7 @@
     std::variant<Hello, Welcome, Heartbeat, Grant, InventoryRequest, Inventory,
                  StartTasks, StopTasks, Outcomes, AcknowledgeOutcomes, OwnerLost,
                  RunnerReport, RequestStart, RequestCancel, ResponseStart,
-                 ResponseBytes, ResponseEnd, SettingsInForce, BatchEvictionRequest,
+                 ResponseBytes, ResponseEnd, ActiveSettings, BatchEvictionRequest,
                  KeyClaim, KeyClaimed, KeyRelease>;
 
 }  // namespace beamhill
