--- a/beamhill/dispatch/ownership_keeper.h
+++ b/beamhill/dispatch/ownership_keeper.h
@@ -159,7 +159,7 @@
   std::optional<OpenCommit> commit_;
   // Of the last transaction made here; no two have the same.
   uint64_t last_sequence_ = 0;
-  AnswerTimes answer_times_;
+  ResponseTimeEstimator answer_times_;
   TimePoint confirmed_at_{};
   TimePoint last_commit_{};
 
--- a/beamhill/scheduler/job_desk.h
+++ b/beamhill/scheduler/job_desk.h
@@ -125,7 +125,7 @@
   std::function<TimePoint()> now_;
   std::map<Number, Submission> submissions_;
   Number last_number_ = 0;
-  AnswerTimes answer_times_;
+  ResponseTimeEstimator answer_times_;
   int open_ = 0;
   bool unanswered_ = false;  // Nothing has come since the last transaction.
   bool looking_ = false;
--- a/beamhill/table/answer_times.h
+++ b/beamhill/table/answer_times.h
@@ -8,7 +8,7 @@
 // what is overdue is looked for by a read, which takes no turn; only where that
 // is answered quickly the write is repeated.
 //
-//   AnswerTimes times;
+//   ResponseTimeEstimator times;
 //   if (now - sent_at >= times.Patience()) Look();
 //   // When the look is answered:
 //   const bool lost = times.IsQuick(took);
@@ -23,7 +23,7 @@
 
 namespace beamhill {
 
-class AnswerTimes {
+class ResponseTimeEstimator {
  public:
   // Takes in how long an answer took.
   void Add(Duration took) {
