--- a/beamhill/dispatch/ownership_keeper.cc
+++ b/beamhill/dispatch/ownership_keeper.cc
@@ -69,7 +69,7 @@
     const bool idle = now - last_commit_ >= options_.confirm_interval;
     if (idle && !commit_ && !releasing_) Commit({}, [](bool) {});
     const bool overdue =
-        commit_ && now - commit_->last_sent >= answer_times_.Patience();
+        commit_ && now - commit_->last_sent >= answer_times_.ReplyTimeout();
     if (overdue && !rechecking_ && !looking_) LookForCommit();
     return;
   }
--- a/beamhill/scheduler/job_desk.cc
+++ b/beamhill/scheduler/job_desk.cc
@@ -114,7 +114,7 @@
     if (late) Finish(number, SubmitResult::kUnknown);
   }
   const bool overdue =
-      open_ > 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ > 0 && now - last_sent_ >= answer_times_.ReplyTimeout();
   if (MaySend()) {
     SendWaiting();
   } else if (overdue && unanswered_ && !looking_ && !submissions_.empty()) {
@@ -126,7 +126,7 @@
   const TimePoint now = now_();
   if (table_silent_ || open_ >= kMostOpen || now < not_before_) return false;
   const bool timed_out =
-      open_ == 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ == 0 && now - last_sent_ >= answer_times_.ReplyTimeout();
   return !unanswered_ || timed_out;
 }
 
--- a/beamhill/table/answer_times.h
+++ b/beamhill/table/answer_times.h
@@ -9,7 +9,7 @@
 // is answered quickly the write is repeated.
 //
 //   ResponseTimeEstimator times;
-//   if (now - sent_at >= times.Patience()) Look();
+//   if (now - sent_at >= times.ReplyTimeout()) Look();
 //   // When the look is answered:
 //   const bool lost = times.IsQuick(took);
 //   times.Add(took);
@@ -32,10 +32,10 @@
   }
 
   // Whether an answer that took so long shows that one that is overdue is lost.
-  bool IsQuick(Duration took) const { return took * kUsualTimes <= Patience(); }
+  bool IsQuick(Duration took) const { return took * kUsualTimes <= ReplyTimeout(); }
 
   // How long to wait for an answer before it is overdue.
-  Duration Patience() const {
+  Duration ReplyTimeout() const {
     return std::clamp(usual_ * kUsualTimes, kLeastPatience, kMostPatience);
   }
 
