--- a/beamhill/dispatch/ownership_keeper.cc
+++ b/beamhill/dispatch/ownership_keeper.cc
@@ -254,7 +254,7 @@
                                    const Result<std::vector<Row>>& rows) {
   if (!IsOk(rows)) return;
   const Duration took = hooks_.now() - sent_at;
-  const bool lost = answer_times_.IsQuick(took);
+  const bool lost = answer_times_.ImpliesLostReply(took);
   answer_times_.Add(took);
   const bool open = commit_ && commit_->next.sequence == sequence;
   if (!open || rechecking_) return;
--- a/beamhill/scheduler/job_desk.cc
+++ b/beamhill/scheduler/job_desk.cc
@@ -147,7 +147,7 @@
                      const std::optional<Row>& row) {
   if (!row) return;
   const Duration took = now_() - sent_at;
-  const bool lost = answer_times_.IsQuick(took);
+  const bool lost = answer_times_.ImpliesLostReply(took);
   answer_times_.Add(took);
   const bool stored = row->version != 0;
   if (stored && submissions_.count(number) > 0) {
--- a/beamhill/table/answer_times.h
+++ b/beamhill/table/answer_times.h
@@ -11,7 +11,7 @@
 //   ResponseTimeEstimator times;
 //   if (now - sent_at >= times.ReplyTimeout()) Look();
 //   // When the look is answered:
-//   const bool lost = times.IsQuick(took);
+//   const bool lost = times.ImpliesLostReply(took);
 //   times.Add(took);
 //   if (lost) SendAgain();
 #ifndef BEAMHILL_TABLE_ANSWER_TIMES_H_
@@ -32,7 +32,7 @@
   }
 
   // Whether an answer that took so long shows that one that is overdue is lost.
-  bool IsQuick(Duration took) const { return took * kUsualTimes <= ReplyTimeout(); }
+  bool ImpliesLostReply(Duration took) const { return took * kUsualTimes <= ReplyTimeout(); }
 
   // How long to wait for an answer before it is overdue.
   Duration ReplyTimeout() const {
