--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -58,7 +58,7 @@
 // What a trial there might cost; lower is better.
 double TrialCost(const Vm& vm, const WorkflowStep& step, TimePoint now) {
   double cost =
-      static_cast<double>(vm.used.cpu_millis + vm.filling_cpu) / kMillisOfCore;
+      static_cast<double>(vm.used.cpu_millis + vm.filling_cpu) / kMillicoresPerCore;
   if (IsUnstable(vm, now)) cost += kUnstableCost;
   if (!step.near_rack.empty() && vm.status.rack != step.near_rack) {
     cost += kFarFromDataCost;
--- a/beamhill/dispatch/dispatch_fillers.cc
+++ b/beamhill/dispatch/dispatch_fillers.cc
@@ -107,7 +107,7 @@
       sums.begin(), sums.end(), yield_order,
       [](double order, const auto& entry) { return order < entry.first; });
   const double filling = after == sums.begin() ? 0 : std::prev(after)->second;
-  return FreeCores(vm) * kMillisOfCore - filling;
+  return FreeCores(vm) * kMillicoresPerCore - filling;
 }
 
 bool Dispatcher::NeedsARun(const Job& job) {
@@ -120,7 +120,7 @@
   const auto asked = static_cast<double>(filler.each.cpu_millis);
   if (FreeCpuFor(vm, job.yield_order) < asked) return false;
   // What comes before others may push them aside, but only so many.
-  const double pushed = kPushedAside * FreeCores(vm) * kMillisOfCore;
+  const double pushed = kPushedAside * FreeCores(vm) * kMillicoresPerCore;
   if (FreeCpuFor(vm, kLastOrder) + pushed < asked) return false;
   const bool starved = PaceOf(vm, filler.image) < kStarvedPercent;
   return !starved && WorstTailRatio(vm, filler) < kForbiddenRatio;
@@ -148,7 +148,7 @@
                            PaceOf(vm, held.image) / kWholePace;
   }
   std::sort(fillers.begin(), fillers.end());
-  double free = FreeCores(vm) * kMillisOfCore;
+  double free = FreeCores(vm) * kMillicoresPerCore;
   std::vector<RunRef> starved;
   for (const auto& [order, run] : fillers) {
     HeldRun& held = vm.held.at(run);
--- a/beamhill/dispatch/dispatch_layout.cc
+++ b/beamhill/dispatch/dispatch_layout.cc
@@ -38,7 +38,7 @@
                                         (vm.used.cpu_millis - vm.serving_cpu));
   const double serving =
       dispatch_internal::kServingUse * static_cast<double>(vm.serving_cpu);
-  return (room - serving) / kMillisOfCore;
+  return (room - serving) / kMillicoresPerCore;
 }
 
 void Dispatcher::UpdateDemand() {
@@ -48,7 +48,7 @@
     for (const WorkflowStep& step : job->progress.workflow().steps) {
       if (!step.fills) continue;
       const auto cpu = static_cast<double>(step.each.cpu_millis) * step.tasks;
-      asked[step.image] += cpu / kMillisOfCore;
+      asked[step.image] += cpu / kMillicoresPerCore;
     }
   }
   for (const auto& [image, cores] : asked) filler_demand_.emplace(image, cores);
@@ -92,7 +92,7 @@
   after.insert(image);
   const double free = FreeCores(vm);
   const double used = dispatch_internal::kServingUse *
-                      static_cast<double>(cpu_millis) / kMillisOfCore;
+                      static_cast<double>(cpu_millis) / kMillicoresPerCore;
   return layout_.Worth(before, free) - layout_.Worth(after, free - used);
 }
 
@@ -106,7 +106,7 @@
     if (serves && held.image == image) cpu += held.amount.cpu_millis;
   }
   const double freed =
-      dispatch_internal::kServingUse * static_cast<double>(cpu) / kMillisOfCore;
+      dispatch_internal::kServingUse * static_cast<double>(cpu) / kMillicoresPerCore;
   return layout_.Worth(after, FreeCores(vm) + freed) - before;
 }
 
--- a/beamhill/dispatch/dispatch_pressure.cc
+++ b/beamhill/dispatch/dispatch_pressure.cc
@@ -108,7 +108,7 @@
       cores += static_cast<double>(waiting * step.each.cpu_millis);
     }
   }
-  return cores / kMillisOfCore;
+  return cores / kMillicoresPerCore;
 }
 
 void Dispatcher::RefreshPacePolicy(UnixMillis unix_now) {
@@ -116,7 +116,7 @@
   double free = 0;
   for (const auto& [name, vm] : vms_) {
     if (!vm.answered) continue;
-    asked += static_cast<double>(vm.filling_cpu) / kMillisOfCore;
+    asked += static_cast<double>(vm.filling_cpu) / kMillicoresPerCore;
     if (!IsEvacuated(vm)) free += FreeCores(vm);
   }
   const PacePolicy before = filler_load_.policy();
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -316,7 +316,7 @@
       chain += run * (waves + (truth.failing.back().empty() ? 0 : 1));
       truth.outcome.core_seconds += step.tasks * Seconds(run).count() *
                                     static_cast<double>(step.each.cpu_millis) /
-                                    kMillisOfCore;
+                                    kMillicoresPerCore;
       workflow.steps.push_back(std::move(step));
     }
     truth.outcome.id = workflow.id;
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -162,7 +162,7 @@
     run.done_seconds += pace * seconds;
     if (run.task.fills) {
       shares[run.task.image] += used / static_cast<double>(size_.cpu_millis);
-      filled_core_seconds_ += used / kMillisOfCore * seconds;
+      filled_core_seconds_ += used / kMillicoresPerCore * seconds;
     }
     const double whole = std::chrono::duration<double>(run.task.work).count();
     if (!run.task.lasts && run.done_seconds >= whole) {
--- a/beamhill/work/work.h
+++ b/beamhill/work/work.h
@@ -17,7 +17,7 @@
 namespace beamhill {
 
 // Thousandths in a core, the unit of `Resources::cpu_millis`.
-inline constexpr double kMillisOfCore = 1000;
+inline constexpr double kMillicoresPerCore = 1000;
 
 // An amount of a VM's capacity, or of what a task may use of it.
 struct Resources {
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -218,7 +218,7 @@
     const WorkflowStep& spec = workflow_.steps[step];
     const std::chrono::duration<double> each = ExpectedRun(step);
     work += undone_[Slot(round, step)] * each.count() *
-            static_cast<double>(spec.each.cpu_millis) / kMillisOfCore;
+            static_cast<double>(spec.each.cpu_millis) / kMillicoresPerCore;
   }
   return work;
 }
