--- a/beamhill/executor/vm_registration.cc
+++ b/beamhill/executor/vm_registration.cc
@@ -23,7 +23,7 @@
 VmRegistration::VmRegistration(const VmRecord& record, Table table,
                                VmRegistrationHooks hooks)
     : key_(rows::kExecutors + record.vm),
-      earlier_key_(rows::kEarlierExecutors + record.vm),
+      earlier_key_(rows::kLegacyExecutors + record.vm),
       value_(EncodeRecord(record)),
       table_(std::move(table)),
       hooks_(std::move(hooks)) {}
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -32,14 +32,14 @@
 // What is stored, collected table by table.
 struct WorkOwner::Loading {
   std::vector<std::string> prefixes = {
-      rows::kExecutors, rows::kEarlierExecutors, rows::kWorkflows,
+      rows::kExecutors, rows::kLegacyExecutors, rows::kWorkflows,
       rows::kProgress,  rows::kCancels,          rows::kLearned};
   std::map<std::string, std::vector<Row>> found;
 
   // Names of the VMs, each once.
   std::set<std::string> VmNames() const {
     std::set<std::string> names;
-    for (const char* prefix : {rows::kExecutors, rows::kEarlierExecutors}) {
+    for (const char* prefix : {rows::kExecutors, rows::kLegacyExecutors}) {
       for (const Row& row : found.at(prefix)) {
         names.insert(After(row.key, prefix));
       }
@@ -153,7 +153,7 @@
        {"workflows", dispatcher_->workflows()},
        {"vms", loading.VmNames().size()}});
   OnVmRows(loading.found.at(rows::kExecutors));
-  OnEarlierVmRows(loading.found.at(rows::kEarlierExecutors));
+  OnEarlierVmRows(loading.found.at(rows::kLegacyExecutors));
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
   vm_scan_ = loop_.Every(options_.vm_scan_interval, [this] { ScanVms(); });
   earlier_vm_scan_ = loop_.Every(options_.earlier_vm_scan_interval,
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -158,8 +158,8 @@
                     EncodeRecord(vm.Record())};
   };
   Transaction rows;
-  rows.writes = {row(rows::kEarlierExecutors, earlier),
-                 row(rows::kEarlierExecutors, left_address),
+  rows.writes = {row(rows::kLegacyExecutors, earlier),
+                 row(rows::kLegacyExecutors, left_address),
                  row(rows::kExecutors, upgraded)};
   table_.model().Commit(rows);
   EXPECT_TRUE(RunUntil(
--- a/beamhill/scheduler/work_owner_vms.cc
+++ b/beamhill/scheduler/work_owner_vms.cc
@@ -47,7 +47,7 @@
 }
 
 void WorkOwner::ScanEarlierVms() {
-  table_.scan(rows::kEarlierExecutors,
+  table_.scan(rows::kLegacyExecutors,
               lifetime_.Guard([this](Result<std::vector<Row>> rows) {
                 if (IsOk(rows)) OnEarlierVmRows(ValueOf(rows));
               }));
--- a/beamhill/table/row_names.h
+++ b/beamhill/table/row_names.h
@@ -39,7 +39,7 @@
 inline constexpr char kExecutors[] = "executors/";
 // Where executors of earlier versions register: among the work's rows. Read,
 // and removed with their VM, but no longer written.
-inline constexpr char kEarlierExecutors[] = "vms/";
+inline constexpr char kLegacyExecutors[] = "vms/";
 
 std::string NewMarker(const std::string& workflow);
 std::string CancelMarker(const std::string& workflow);
