--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -323,7 +323,7 @@
   const TimePoint now = BootClock::now();
   if (now - pressure_stored_at_ >= kStorePressureInterval) {
     pressure_stored_at_ = now;
-    writes.push_back({rows::kPressure, kAnyVersion,
+    writes.push_back({rows::kInterference, kAnyVersion,
                       EncodeRecord(dispatcher_->LearnedPressure())});
   }
   constexpr size_t kMaxWrites = 98;  // Of 100; one is the owner's row.
--- a/beamhill/table/row_names.h
+++ b/beamhill/table/row_names.h
@@ -33,7 +33,7 @@
 inline constexpr char kProgress[] = "progress/";
 inline constexpr char kCancels[] = "cancels/";
 inline constexpr char kLearned[] = "learned/";
-inline constexpr char kPressure[] = "learned/pressure";
+inline constexpr char kInterference[] = "learned/pressure";
 // What the owner may not have heard of yet: "n-" new, "c-" cancelled.
 inline constexpr char kArrivals[] = "arrivals/";
 inline constexpr char kExecutors[] = "executors/";
