--- a/beamhill/scheduler/job_desk.cc
+++ b/beamhill/scheduler/job_desk.cc
@@ -212,7 +212,7 @@
     left.push_back(number);
   }
   if (result == CommitResult::kConflict && batch.size() > 1) {
-    OnBatchConflict(left, answer.standing);
+    OnBatchConflict(left, answer.current_rows);
     return;
   }
   for (const Number number : left) OnSentOne(number, result);
--- a/beamhill/table/table.h
+++ b/beamhill/table/table.h
@@ -61,7 +61,7 @@
   std::vector<uint64_t> versions;  // Of the writes, when committed.
   // After a conflict, as far as the table tells: the rows with an expected
   // version that are there, as they are.
-  std::vector<Row> standing = {};
+  std::vector<Row> current_rows = {};
 };
 
 using ReadAnswer = std::function<void(Result<std::vector<Row>>)>;
