--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -332,7 +332,7 @@
     state["runner"] = {{"in_progress", report.in_progress},
                        {"limit", report.limit},
                        {"latency_ms", ToMillis(report.latency)},
-                       {"leaving", report.leaving},
+                       {"leaving", report.draining},
                        {"connections", gate_->connections()},
                        {"ran", gate_->counts().ran},
                        {"refused", gate_->counts().refused},
--- a/beamhill/agent/runner_gate.cc
+++ b/beamhill/agent/runner_gate.cc
@@ -36,7 +36,7 @@
   report.limit = options_.slots;
   report.ended = ended_;
   if (ended_ > 0) report.latency = latency_sum_ / ended_;
-  report.leaving = leaving_;
+  report.draining = leaving_;
   return report;
 }
 
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -61,7 +61,7 @@
     } else if constexpr (std::is_same_v<U, OwnerLost>) {
       return std::tie(v.epoch);
     } else if constexpr (std::is_same_v<U, RunnerReport>) {
-      return std::tie(v.in_progress, v.limit, v.ended, v.latency, v.leaving);
+      return std::tie(v.in_progress, v.limit, v.ended, v.latency, v.draining);
     } else if constexpr (std::is_same_v<U, RequestStart>) {
       return std::tie(v.id, v.service, v.method, v.target, v.headers,
                       v.idempotency_key, v.key_is_new, v.deadline, v.body);
--- a/beamhill/messages/messages.h
+++ b/beamhill/messages/messages.h
@@ -147,7 +147,7 @@
   // Requests ended since the last report, and their mean latency.
   uint32_t ended = 0;
   Duration latency{};
-  bool leaving = false;
+  bool draining = false;
 };
 
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
--- a/beamhill/routing/runner_table.cc
+++ b/beamhill/routing/runner_table.cc
@@ -51,7 +51,7 @@
   if (it == runners_.end()) return;
   Runner& runner = it->second;
   runner.limit = report.limit;
-  runner.leaving = report.leaving;
+  runner.leaving = report.draining;
   runner.reported_at = now;
   runner.others =
       report.in_progress > runner.own ? report.in_progress - runner.own : 0;
