--- a/beamhill/scheduler/job_desk.h
+++ b/beamhill/scheduler/job_desk.h
@@ -29,7 +29,7 @@
 
 #include "beamhill/base/lifetime.h"
 #include "beamhill/dispatch/dispatch_messages.h"
-#include "beamhill/table/answer_times.h"
+#include "beamhill/table/response_time_estimator.h"
 #include "beamhill/table/row_names.h"
 #include "beamhill/table/table.h"
 #include "beamhill/workflow/workflow.h"
--- a/beamhill/table/answer_times.h
+++ b/beamhill/table/response_time_estimator.h
@@ -14,8 +14,8 @@
 //   const bool lost = times.ImpliesLostReply(took);
 //   times.Add(took);
 //   if (lost) SendAgain();
-#ifndef BEAMHILL_TABLE_ANSWER_TIMES_H_
-#define BEAMHILL_TABLE_ANSWER_TIMES_H_
+#ifndef BEAMHILL_TABLE_RESPONSE_TIME_ESTIMATOR_H_
+#define BEAMHILL_TABLE_RESPONSE_TIME_ESTIMATOR_H_
 
 #include <algorithm>
 
@@ -51,4 +51,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_TABLE_ANSWER_TIMES_H_
+#endif  // BEAMHILL_TABLE_RESPONSE_TIME_ESTIMATOR_H_
