--- a/beamhill/agent/agent.h
+++ b/beamhill/agent/agent.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "beamhill/agent/agent_core.h"
-#include "beamhill/agent/runner_gate.h"
+#include "beamhill/agent/runner_proxy.h"
 #include "beamhill/base/error.h"
 #include "beamhill/base/stop_sequence.h"
 #include "beamhill/event/event_loop.h"
--- a/beamhill/agent/key_memory.h
+++ b/beamhill/agent/idempotency_key_store.h
@@ -5,8 +5,8 @@
 //
 //   switch (keys.Begin(key, now).state) {
 //     case KeyState::kNew: ...run it, then keys.End(key, answer, now);
-#ifndef BEAMHILL_AGENT_KEY_MEMORY_H_
-#define BEAMHILL_AGENT_KEY_MEMORY_H_
+#ifndef BEAMHILL_AGENT_IDEMPOTENCY_KEY_STORE_H_
+#define BEAMHILL_AGENT_IDEMPOTENCY_KEY_STORE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -76,4 +76,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_AGENT_KEY_MEMORY_H_
+#endif  // BEAMHILL_AGENT_IDEMPOTENCY_KEY_STORE_H_
--- a/beamhill/agent/key_memory_test.cc
+++ b/beamhill/agent/idempotency_key_store_test.cc
@@ -1,4 +1,4 @@
-#include "beamhill/agent/key_memory.h"
+#include "beamhill/agent/idempotency_key_store.h"
 
 #include <gtest/gtest.h>
 
--- a/beamhill/agent/runner_gate.cc
+++ b/beamhill/agent/runner_proxy.cc
@@ -1,4 +1,4 @@
-#include "beamhill/agent/runner_gate.h"
+#include "beamhill/agent/runner_proxy.h"
 
 #include <algorithm>
 #include <utility>
--- a/beamhill/agent/runner_gate.h
+++ b/beamhill/agent/runner_proxy.h
@@ -3,8 +3,8 @@
 // Every request to the runner comes through here, from any entry, so the
 // limits hold without the entries' talking to each other. "Not run" is said
 // only of a request that was never handed to the runner's connection.
-#ifndef BEAMHILL_AGENT_RUNNER_GATE_H_
-#define BEAMHILL_AGENT_RUNNER_GATE_H_
+#ifndef BEAMHILL_AGENT_RUNNER_PROXY_H_
+#define BEAMHILL_AGENT_RUNNER_PROXY_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "beamhill/agent/key_memory.h"
+#include "beamhill/agent/idempotency_key_store.h"
 #include "beamhill/event/event_loop.h"
 #include "beamhill/http/http_client.h"
 #include "beamhill/messages/messages.h"
@@ -132,4 +132,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_AGENT_RUNNER_GATE_H_
+#endif  // BEAMHILL_AGENT_RUNNER_PROXY_H_
