--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -14,17 +14,17 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
-constexpr Duration kListPeriod = std::chrono::milliseconds(500);
-constexpr Duration kReportPeriod = std::chrono::seconds(1);
-constexpr Duration kLatencyPeriod = std::chrono::seconds(1);
-constexpr Duration kFirstRedial = std::chrono::milliseconds(100);
-constexpr Duration kMaxRedial = std::chrono::seconds(5);
-// Entries hear in a few milliseconds that this VM's runner leaves; until then
-// they may have sent it more.
-constexpr Duration kLeaveLinger = std::chrono::milliseconds(500);
-// A request may run for as long as its caller waits.
-constexpr Duration kLongestLeave = std::chrono::hours(1);
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+constexpr Duration kWorkerListInterval = std::chrono::milliseconds(500);
+constexpr Duration kReportInterval = std::chrono::seconds(1);
+constexpr Duration kLatencySampleInterval = std::chrono::seconds(1);
+constexpr Duration kMinRedialDelay = std::chrono::milliseconds(100);
+constexpr Duration kMaxRedialDelay = std::chrono::seconds(5);
+// Entries learn within a few milliseconds that this VM's runner is draining;
+// until then they may still send requests to it.
+constexpr Duration kDrainLinger = std::chrono::milliseconds(500);
+// A request may take as long as its caller waits.
+constexpr Duration kMaxDrainTime = std::chrono::hours(1);
 
 }  // namespace
 
@@ -54,12 +54,13 @@
     core_->OnWorkerList({}, TimePoint{});
   }
   if (settings.has_runner) {
-    gate_ = std::make_unique<RunnerGate>(
+    runner_proxy_ = std::make_unique<RunnerProxy>(
         loop, settings.runner,
         [this](const std::string& entry, const Message& message) {
           Send(entry, message);
-          // A slot that becomes free on a full runner is told at once.
-          if (gate_ && gate_->has_new_room()) ReportRunner(true);
+          // Report the first free slot of a full runner without delay.
+          if (runner_proxy_ && runner_proxy_->slot_freed_since_full_report())
+            SendRunnerReport(true);
         });
   }
 }
@@ -79,9 +80,9 @@
     entry.address = address;
     Dial(entry);
   }
-  tick_ = loop_.Every(kTick, [this] { Tick(); });
-  list_tick_ = loop_.Every(kListPeriod, [this] { ListWorker(); });
-  ListWorker();
+  tick_timer_ = loop_.Every(kTickInterval, [this] { Tick(); });
+  list_timer_ = loop_.Every(kWorkerListInterval, [this] { PollWorkerTasks(); });
+  PollWorkerTasks();
   return Ok{};
 }
 
@@ -93,7 +94,7 @@
     OnFrame(*raw, frame);
   };
   hooks.on_close = [this, raw](Link&) { OnClose(*raw); };
-  entry.welcomed = false;
+  entry.handshake_done = false;
   entry.link = Link::Dial(loop_, entry.address, std::move(hooks));
 }
 
@@ -117,22 +118,23 @@
 }
 
 void Agent::OnClose(EntryLink& entry) {
-  if (entry.welcomed) {
+  if (entry.handshake_done) {
     Log(LogLevel::kInfo, "entry_lost", {{"entry", entry.name}});
   }
-  entry.welcomed = false;
+  entry.handshake_done = false;
   core_->OnLinkDown(entry.name);
-  if (gate_) gate_->OnEntryDown(entry.name);
-  RedialLater(entry);
+  if (runner_proxy_) runner_proxy_->OnEntryDown(entry.name);
+  ScheduleRedial(entry);
 }
 
-void Agent::RedialLater(EntryLink& entry) {
-  entry.retry = entry.retry == Duration(0)
-                    ? kFirstRedial
-                    : std::min(entry.retry * 2, kMaxRedial);
+void Agent::ScheduleRedial(EntryLink& entry) {
+  entry.redial_delay = entry.redial_delay == Duration(0)
+                           ? kMinRedialDelay
+                           : std::min(entry.redial_delay * 2, kMaxRedialDelay);
   const double share =
       std::uniform_real_distribution<double>(0.5, 1.0)(random_);
-  const auto delay = std::chrono::duration_cast<Duration>(entry.retry * share);
+  const auto delay =
+      std::chrono::duration_cast<Duration>(entry.redial_delay * share);
   EntryLink* raw = &entry;
   entry.redial = loop_.After(delay, [this, raw] { Dial(*raw); });
 }
@@ -149,22 +151,22 @@
   }
   const Message& message = ValueOf(decoded);
   if (std::holds_alternative<Welcome>(message)) {
-    entry.welcomed = true;
-    entry.retry = Duration(0);
+    entry.handshake_done = true;
+    entry.redial_delay = Duration(0);
     Log(LogLevel::kInfo, "entry_linked", {{"entry", entry.name}});
-    if (gate_) Send(entry.name, gate_->Report());
-    // An entry that started while the table is down learns from here what is
-    // in force.
-    if (settings_revision_ > 0) Send(entry.name, SettingsNow());
+    if (runner_proxy_) Send(entry.name, runner_proxy_->Report());
+    // An entry that started while the table is unavailable gets the settings
+    // in force from its agents.
+    if (settings_revision_ > 0) Send(entry.name, CurrentSettings());
   } else if (const auto* request = std::get_if<RequestStart>(&message)) {
-    if (gate_) gate_->OnRequest(entry.name, *request);
-    ReportRunner(false);
+    if (runner_proxy_) runner_proxy_->OnRequest(entry.name, *request);
+    SendRunnerReport(false);
   } else if (const auto* claim = std::get_if<KeyClaim>(&message)) {
-    if (gate_) gate_->OnKeyClaim(entry.name, *claim);
+    if (runner_proxy_) runner_proxy_->OnKeyClaim(entry.name, *claim);
   } else if (const auto* release = std::get_if<KeyRelease>(&message)) {
-    if (gate_) gate_->OnKeyRelease(*release);
+    if (runner_proxy_) runner_proxy_->OnKeyRelease(*release);
   } else if (const auto* cancel = std::get_if<RequestCancel>(&message)) {
-    if (gate_) gate_->OnCancel(entry.name, *cancel);
+    if (runner_proxy_) runner_proxy_->OnCancel(entry.name, *cancel);
   } else if (const auto* settings = std::get_if<ActiveSettings>(&message)) {
     OnSettings(*settings);
   } else {
@@ -185,15 +187,15 @@
 void Agent::OnSettings(const ActiveSettings& settings) {
   if (settings.revision <= settings_revision_) return;
   settings_revision_ = settings.revision;
-  in_force_.clear();
-  for (const auto& [key, value] : settings.values) in_force_[key] = value;
-  const auto level = ParseLogLevel(SettingText(in_force_, "log.level"));
+  active_values_.clear();
+  for (const auto& [key, value] : settings.values) active_values_[key] = value;
+  const auto level = ParseLogLevel(SettingText(active_values_, "log.level"));
   if (IsOk(level)) SetLogLevel(ValueOf(level));
   Log(LogLevel::kInfo, "settings_in_force", {{"revision", settings_revision_}});
 }
 
-ActiveSettings Agent::SettingsNow() const {
-  return {settings_revision_, {in_force_.begin(), in_force_.end()}};
+ActiveSettings Agent::CurrentSettings() const {
+  return {settings_revision_, {active_values_.begin(), active_values_.end()}};
 }
 
 void Agent::Flush() {
@@ -214,12 +216,12 @@
   }
 }
 
-void Agent::ListWorker() {
-  if (!worker_ || listing_) return;
-  listing_ = true;
+void Agent::PollWorkerTasks() {
+  if (!worker_ || list_pending_) return;
+  list_pending_ = true;
   worker_->List(
       [this](const Result<std::vector<WorkerTask>>& list, TimePoint sent_at) {
-        listing_ = false;
+        list_pending_ = false;
         if (!IsOk(list)) return;
         core_->OnWorkerList(ValueOf(list), sent_at);
         Flush();
@@ -229,73 +231,78 @@
 void Agent::Tick() {
   core_->Tick(BootClock::now());
   Flush();
-  ReportRunner(false);
-  EndIfQuiet();
+  SendRunnerReport(false);
+  ExitIfIdle();
 }
 
-void Agent::EndIfQuiet() {
+void Agent::ExitIfIdle() {
   if (!stop_) return;
   const TimePoint now = BootClock::now();
-  const bool idle = !gate_ || gate_->idle();
+  const bool idle = !runner_proxy_ || runner_proxy_->idle();
   if (!idle) stop_->OnActivity(now);
   if (!stop_->MayExit(now, idle ? 0 : 1, /*released=*/true)) return;
   stop_.reset();
-  if (on_left_) on_left_();
+  if (on_drained_) on_drained_();
 }
 
-void Agent::ReportRunner(bool always) {
-  if (!gate_) return;
+void Agent::SendRunnerReport(bool force) {
+  if (!runner_proxy_) return;
   const TimePoint now = BootClock::now();
-  const bool due = now >= last_report_ + kReportPeriod;
-  if (!gate_->TakeReportChanged() && !due && !always) return;
-  last_report_ = now;
-  const RunnerReport report = gate_->Report();
-  gate_->ResetEnded();
+  const bool due = now >= last_report_at_ + kReportInterval;
+  if (!runner_proxy_->TakeReportChanged() && !due && !force) return;
+  last_report_at_ = now;
+  const RunnerReport report = runner_proxy_->Report();
+  runner_proxy_->StartReportInterval();
   for (const auto& [name, entry] : entries_) {
-    if (entry.welcomed) Send(name, report);
+    if (entry.handshake_done) Send(name, report);
   }
-  ended_ += report.ended;
-  latency_sum_ += report.latency * report.ended;
-  if (now < last_latency_ + kLatencyPeriod) return;
-  const Duration target = SettingTime(in_force_, "latency.target");
-  if (ended_ > 0) {
-    core_->OnServiceLatency(latency_sum_ / ended_, target, now);
+  ended_since_sample_ += report.ended;
+  latency_sum_since_sample_ += report.latency * report.ended;
+  if (now < last_sample_ + kLatencySampleInterval) return;
+  const Duration target = SettingTime(active_values_, "latency.target");
+  if (ended_since_sample_ > 0) {
+    core_->OnServiceLatency(latency_sum_since_sample_ / ended_since_sample_,
+                            target, now);
   } else if (report.in_progress == 0) {
     core_->OnServiceIdle(target, now);
   } else {
     return;
   }
-  last_latency_ = now;
-  ended_ = 0;
-  latency_sum_ = Duration(0);
+  last_sample_ = now;
+  ended_since_sample_ = 0;
+  latency_sum_since_sample_ = Duration(0);
   Flush();
 }
 
-void Agent::Leave() {
+void Agent::Drain() {
   if (stop_) return;
   Log(LogLevel::kInfo, "leaving");
   StopSequenceOptions options;
-  options.grace = kLongestLeave;
-  options.linger = kLeaveLinger;
+  options.grace = kMaxDrainTime;
+  options.linger = kDrainLinger;
   stop_ = StopSequence(options, BootClock::now());
-  if (gate_) gate_->Leave();
-  ReportRunner(true);
+  if (runner_proxy_) runner_proxy_->Drain();
+  SendRunnerReport(true);
 }
 
 void Agent::HandleOperator(HttpExchange exchange) {
   const HttpRequest& request = exchange.request();
   const auto authorization = FindHeader(request.headers, "Authorization");
   if (authorization != "Bearer " + settings_.operators_token) {
-    exchange.Reply({401, {}, "send Authorization: Bearer {token}\n"});
+    exchange.Reply(
+        {401,
+         {},
+         "missing or wrong token: send Authorization: Bearer {token}\n"});
   } else if (request.path == "/healthz") {
     exchange.Reply({200, {}, "ok\n"});
   } else if (request.path == "/v1/state") {
     exchange.Reply({200, {{"Content-Type", "application/json"}}, StateDump()});
   } else if (request.path == "/v1/drain" && request.method == "POST") {
     exchange.Reply({202, {}, "leaving\n"});
-    Leave();
+    Drain();
   } else {
-    exchange.Reply({404, {}, "no such path\n"});
+    exchange.Reply(
+        {404, {}, "unknown path: use /healthz, /v1/state or POST /v1/drain\n"});
   }
 }
 
@@ -303,7 +310,7 @@
   const TimePoint now = BootClock::now();
   Json links = Json::object();
   for (const auto& [name, entry] : entries_) {
-    links[name] = entry.welcomed ? "up" : "down";
+    links[name] = entry.handshake_done ? "up" : "down";
   }
   Json state = {
       {"process", "agent"},
@@ -318,27 +325,28 @@
       {"tasks_running", core_->running()},
       {"tasks_started", core_->counts().starts},
       {"throttled", core_->throttled()},
-      {"outcomes_unsettled", core_->unsettled()},
+      {"outcomes_unsettled", core_->unacknowledged()},
       {"granted_cpu_millis", core_->granted().cpu_millis},
       {"granted_memory_mib", core_->granted().memory_mib},
-      {"settings", {{"revision", settings_revision_}, {"values", in_force_}}},
+      {"settings",
+       {{"revision", settings_revision_}, {"values", active_values_}}},
       {"messages_sent", messages_sent_},
       {"messages_received", messages_received_},
       {"bytes_sent", bytes_sent_},
       {"bytes_received", bytes_received_},
       {"process_settings", settings_.effective}};
-  if (gate_) {
-    const RunnerReport report = gate_->Report();
+  if (runner_proxy_) {
+    const RunnerReport report = runner_proxy_->Report();
     state["runner"] = {{"in_progress", report.in_progress},
                        {"limit", report.limit},
                        {"latency_ms", ToMillis(report.latency)},
                        {"leaving", report.draining},
-                       {"connections", gate_->connections()},
-                       {"ran", gate_->counts().ran},
-                       {"refused", gate_->counts().refused},
-                       {"unknown", gate_->counts().unknown},
-                       {"repeated_keys", gate_->counts().repeated_keys},
-                       {"abandoned", gate_->counts().abandoned}};
+                       {"connections", runner_proxy_->connections()},
+                       {"ran", runner_proxy_->counts().ran},
+                       {"refused", runner_proxy_->counts().refused},
+                       {"unknown", runner_proxy_->counts().unknown},
+                       {"repeated_keys", runner_proxy_->counts().repeated_keys},
+                       {"abandoned", runner_proxy_->counts().abandoned}};
   }
   return state.dump(2) + "\n";
 }
--- a/beamhill/agent/agent.h
+++ b/beamhill/agent/agent.h
@@ -1,4 +1,12 @@
-// The agent process: one on each VM, beside its runner and its worker.
+// The agent process, which runs on each VM next to its runner and its worker.
+//
+// It keeps a link to every entry of its region, starts and stops tasks on the
+// worker, forwards requests to the runner and serves an HTTP API to operators.
+//
+//   auto agent = Agent::Start(loop, settings);
+//   if (!IsOk(agent)) return ErrorOf(agent);
+//   ValueOf(agent)->set_on_drained([&] { loop.Stop(); });
+//   loop.Run();
 #ifndef BEAMHILL_AGENT_AGENT_H_
 #define BEAMHILL_AGENT_AGENT_H_
 
@@ -21,6 +29,7 @@
 
 namespace beamhill {
 
+// Contents of an agent's settings file.
 struct AgentSettings {
   std::string vm;
   std::string region;
@@ -35,52 +44,62 @@
   Address platform;
   Resources capacity;
   bool has_runner = false;
-  RunnerGateOptions runner;
-  std::map<std::string, std::string> effective;  // For the state dump.
+  RunnerProxyOptions runner;
+  // All keys with the values in use, without secrets, for the state dump.
+  std::map<std::string, std::string> effective;
 };
 
-// Reads and validates all keys of an agent's settings file.
+// Reads and validates an agent's settings file. The error names each key that
+// is missing, unknown or out of range.
 Result<AgentSettings> ReadAgentSettings(const std::string& file);
 
 class Agent {
  public:
+  // Listens for operators and connects to all entries. Fails if the operators'
+  // address is not available.
   static Result<std::unique_ptr<Agent>> Start(EventLoop& loop,
                                               const AgentSettings& settings);
   ~Agent();
 
-  // Takes no new requests, says so on every link, finishes what is in
-  // progress, then calls the hook. Tasks go on under their leases.
-  void Leave();
-  void set_on_left(std::function<void()> hook) { on_left_ = std::move(hook); }
+  // Refuses new requests, reports that to every entry, completes the requests
+  // in progress, then calls the hook. Tasks keep running under their leases.
+  void Drain();
+  void set_on_drained(std::function<void()> hook) {
+    on_drained_ = std::move(hook);
+  }
 
   uint16_t operators_port() const { return operators_->port(); }
 
  private:
   struct EntryLink {
-    std::string name;  // "ip:port", known before the entry's own name.
+    std::string name;  // "ip:port"; the entry's own name comes with Welcome.
     Address address;
     std::unique_ptr<Link> link;
-    bool welcomed = false;
-    Duration retry{};
+    bool handshake_done = false;  // The entry has accepted the Hello.
+    Duration redial_delay{};      // Delay before the next dial, before jitter.
     Timer redial;
   };
 
   Agent(EventLoop& loop, const AgentSettings& settings);
   Status Listen();
   void Dial(EntryLink& entry);
-  void RedialLater(EntryLink& entry);
+  void ScheduleRedial(EntryLink& entry);
   void OnOpen(EntryLink& entry);
   void OnClose(EntryLink& entry);
   void OnFrame(EntryLink& entry, std::string_view frame);
   void Send(const std::string& entry, const Message& message);
   void OnSettings(const ActiveSettings& settings);
-  ActiveSettings SettingsNow() const;
+  ActiveSettings CurrentSettings() const;
+  // Passes the core's commands to the worker and its messages to the entries.
   void Flush();
-  void ListWorker();
+  void PollWorkerTasks();
   void Tick();
-  // Ends once no request is open and none can be on its way.
-  void EndIfQuiet();
-  void ReportRunner(bool always);
+  // While draining: calls the hook once no request is in progress and none can
+  // still be on its way.
+  void ExitIfIdle();
+  // Sends the runner's load to all entries if it has changed, if the report
+  // interval is over, or if `force` is set.
+  void SendRunnerReport(bool force);
   void HandleOperator(HttpExchange exchange);
   std::string StateDump() const;
 
@@ -90,27 +109,27 @@
   uint64_t incarnation_;
   std::unique_ptr<AgentCore> core_;
   std::unique_ptr<HttpWorker> worker_;
-  std::unique_ptr<RunnerGate> gate_;
+  std::unique_ptr<RunnerProxy> runner_proxy_;
   std::unique_ptr<HttpServer> operators_;
   std::map<std::string, EntryLink> entries_;
-  bool listing_ = false;
-  std::optional<StopSequence> stop_;  // Set once it leaves.
-  std::function<void()> on_left_;
+  bool list_pending_ = false;
+  std::optional<StopSequence> stop_;  // Set while draining.
+  std::function<void()> on_drained_;
   uint64_t settings_revision_ = 0;
-  SettingValues in_force_;
+  SettingValues active_values_;
   uint64_t bytes_sent_ = 0;
   uint64_t bytes_received_ = 0;
   uint64_t messages_sent_ = 0;
   uint64_t messages_received_ = 0;
   TimePoint started_at_;
-  TimePoint last_report_{};
-  // Requests ended since the ladder last looked.
-  uint32_t ended_ = 0;
-  Duration latency_sum_{};
-  TimePoint last_latency_{};
-  Timer tick_;
-  Timer list_tick_;
-  Timer flush_soon_;
+  TimePoint last_report_at_{};
+  // Requests that ended since the last latency sample given to the core.
+  uint32_t ended_since_sample_ = 0;
+  Duration latency_sum_since_sample_{};
+  TimePoint last_sample_{};
+  Timer tick_timer_;
+  Timer list_timer_;
+  Timer flush_timer_;
 };
 
 }  // namespace beamhill
--- a/beamhill/agent/agent_core.cc
+++ b/beamhill/agent/agent_core.cc
@@ -7,11 +7,11 @@
 namespace beamhill {
 namespace {
 
-// Speed of batch tasks while their VM's service is above its target.
+// Speed of batch tasks while the latency of their VM's service is above target.
 constexpr int kThrottledPercent = 35;
 constexpr int kFullPercent = 100;
-// How often a worker is told the speed that its batch tasks are to have.
-constexpr Duration kThrottleRepeat = std::chrono::seconds(5);
+// Interval at which the worker is sent the speed of its batch tasks again.
+constexpr Duration kThrottleRepeatInterval = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -53,7 +53,6 @@
   return std::exchange(link_to_reset_, std::nullopt);
 }
 
-// Whether a message of an owner is of this session and the current epoch.
 bool AgentCore::IsCurrent(const std::string& entry, const Fence& fence) {
   const auto it = links_.find(entry);
   const bool current =
@@ -73,8 +72,8 @@
     OnStartTasks(entry, *starts, now);
   } else if (const auto* stops = std::get_if<StopTasks>(&message)) {
     OnStopTasks(entry, *stops);
-  } else if (const auto* settled = std::get_if<AcknowledgeOutcomes>(&message)) {
-    OnSettled(entry, *settled);
+  } else if (const auto* ack = std::get_if<AcknowledgeOutcomes>(&message)) {
+    OnAcknowledgeOutcomes(entry, *ack);
   }
 }
 
@@ -96,14 +95,14 @@
   }
   epoch_confirmed_ = epoch_confirmed_ || request.confirmed;
   owner_ = entry;
-  inventory_wanted_ = true;
+  inventory_pending_ = true;
   inventory_number_ = request.number;
   AnswerInventory();
 }
 
 void AgentCore::AnswerInventory() {
-  if (!listed_ || !inventory_wanted_) return;
-  inventory_wanted_ = false;
+  if (!worker_list_received_ || !inventory_pending_) return;
+  inventory_pending_ = false;
   Inventory inventory;
   inventory.fence = CurrentFence();
   inventory.number = inventory_number_;
@@ -120,16 +119,17 @@
 void AgentCore::OnGrant(const std::string& entry, const Grant& grant,
                         TimePoint now) {
   if (!IsCurrent(entry, grant.fence)) return;
-  last_grant_ = now;
-  // Counted from the agent's own stamp, so neither a slow message nor a
-  // paused owner can lengthen it.
+  last_grant_at_ = now;
+  // The term starts at the agent's own time stamp, so that neither a delayed
+  // message nor a paused owner can extend the lease.
   const Duration term =
       grant.term - grant.term * options_.clock_rate_error_permille / 1000;
   const TimePoint end = grant.echoed_stamp + term;
   if (end <= lease_end_) return;
   lease_end_ = end;
-  checkpoint_lead_ = std::min(options_.checkpoint_lead, grant.term / 4);
-  lapse_handled_ = false;
+  effective_checkpoint_lead_ =
+      std::min(options_.checkpoint_lead, grant.term / 4);
+  expiry_handled_ = false;
   if (tasks_.empty()) return;
   WorkerCommand renew;
   renew.kind = WorkerCommandKind::kRenew;
@@ -146,8 +146,8 @@
 void AgentCore::StartOne(const JobSpec& job, const StartTask& start,
                          TimePoint now) {
   const TaskId task{job.id, start.index};
-  if (!epoch_confirmed_ || !listed_) {
-    Refuse(task, start.attempt, "ownership not confirmed");
+  if (!epoch_confirmed_ || !worker_list_received_) {
+    Refuse(task, start.attempt, "the owner has not confirmed its ownership");
     return;
   }
   if (now >= lease_end_) {
@@ -156,12 +156,13 @@
     return;
   }
   if (tasks_.count(task) > 0 || outcomes_.count(task) > 0) {
-    Refuse(task, start.attempt, "an earlier attempt is not settled");
+    Refuse(task, start.attempt,
+           "the outcome of an earlier attempt is not acknowledged");
     return;
   }
   if (!options_.capacity.Holds(granted_ + job.each)) {
     ++counts_.refused_capacity;
-    Refuse(task, start.attempt, "capacity in use");
+    Refuse(task, start.attempt, "the VM has too little free capacity");
     return;
   }
   LocalTask local;
@@ -172,18 +173,16 @@
   local.start_lease_end = lease_end_;
   granted_ += job.each;
   ++counts_.starts;
-  CommandStart(task, tasks_.emplace(task, std::move(local)).first->second);
+  EnqueueStart(task, tasks_.emplace(task, std::move(local)).first->second);
 }
 
-// A refusal is reported once and not kept: nothing ran, and an owner that
-// misses it finds the task missing from the next inventory.
 void AgentCore::Refuse(const TaskId& task, Attempt attempt,
                        const std::string& reason) {
   new_outcomes_.push_back({task, attempt, OutcomeKind::kRefused, "", reason});
 }
 
-void AgentCore::CommandStart(const TaskId& task, LocalTask& local) {
-  local.call_open = true;
+void AgentCore::EnqueueStart(const TaskId& task, LocalTask& local) {
+  local.start_call_pending = true;
   WorkerCommand command;
   command.kind = WorkerCommandKind::kStart;
   command.task = task;
@@ -194,7 +193,7 @@
   commands_.push_back(std::move(command));
 }
 
-void AgentCore::CommandStop(const TaskId& task, const LocalTask& local) {
+void AgentCore::EnqueueStop(const TaskId& task, const LocalTask& local) {
   WorkerCommand command;
   command.kind = local.stop_mode == StopMode::kEvict
                      ? WorkerCommandKind::kEvict
@@ -209,15 +208,16 @@
   for (const StopTask& stop : stops.tasks) {
     const auto it = tasks_.find(stop.task);
     if (it == tasks_.end() || !(it->second.attempt == stop.attempt)) continue;
-    it->second.stop_wanted = true;
+    it->second.stop_requested = true;
     it->second.stop_mode = stops.mode;
-    CommandStop(stop.task, it->second);
+    EnqueueStop(stop.task, it->second);
   }
 }
 
-void AgentCore::OnSettled(const std::string& entry, const AcknowledgeOutcomes& settled) {
-  if (!IsCurrent(entry, settled.fence) || !epoch_confirmed_) return;
-  for (const StopTask& key : settled.tasks) {
+void AgentCore::OnAcknowledgeOutcomes(const std::string& entry,
+                                      const AcknowledgeOutcomes& ack) {
+  if (!IsCurrent(entry, ack.fence) || !epoch_confirmed_) return;
+  for (const StopTask& key : ack.tasks) {
     const auto it = outcomes_.find(key.task);
     if (it == outcomes_.end() || !(it->second.attempt == key.attempt)) continue;
     WorkerCommand forget;
@@ -229,7 +229,7 @@
   }
 }
 
-void AgentCore::End(const TaskId& task, TaskOutcome outcome) {
+void AgentCore::RecordOutcome(const TaskId& task, TaskOutcome outcome) {
   const auto it = tasks_.find(task);
   if (it != tasks_.end()) {
     granted_ -= it->second.granted;
@@ -246,73 +246,74 @@
   const auto it = tasks_.find(task);
   if (it == tasks_.end() || !(it->second.attempt == attempt)) return;
   LocalTask& local = it->second;
-  local.call_open = false;
+  local.start_call_pending = false;
   switch (answer) {
     case WorkerStartAnswer::kStarted:
       local.phase = Phase::kRunning;
       local.confirmed_at = now;
       return;
     case WorkerStartAnswer::kUnknown:
-      local.call_lost = true;
+      local.start_reply_lost = true;
       return;
     case WorkerStartAnswer::kRefused:
-      local.refused = true;
-      // A call whose answer was lost may yet take effect.
-      if (local.call_lost) return;
-      End(task, {task, attempt, OutcomeKind::kRefused, "", reason});
+      local.start_refused = true;
+      // An earlier call whose reply was lost may still take effect.
+      if (local.start_reply_lost) return;
+      RecordOutcome(task, {task, attempt, OutcomeKind::kRefused, "", reason});
       return;
   }
 }
 
 void AgentCore::OnWorkerList(const std::vector<WorkerTask>& list,
                              TimePoint sent_at) {
-  // An earlier run of this agent may have left the worker throttled, and nobody
-  // hears whether it has taken the speed that was ordered.
-  const bool repeat = sent_at >= last_throttle_ + kThrottleRepeat;
-  if (!listed_ || (repeat && !tasks_.empty())) {
-    last_throttle_ = sent_at;
-    CommandThrottle();
+  // A previous incarnation of this agent may have left the worker throttled,
+  // and throttle commands are not confirmed.
+  const bool repeat = sent_at >= last_throttle_at_ + kThrottleRepeatInterval;
+  if (!worker_list_received_ || (repeat && !tasks_.empty())) {
+    last_throttle_at_ = sent_at;
+    EnqueueThrottle();
   }
-  std::set<TaskId> named;
+  std::set<TaskId> listed_ids;
   for (const WorkerTask& listed : list) {
-    named.insert(listed.task);
+    listed_ids.insert(listed.task);
     ReconcileListed(listed);
   }
   std::vector<TaskOutcome> ended;
   for (auto& [task, local] : tasks_) {
-    if (named.count(task) > 0) continue;
-    SettleUnlisted(task, local, sent_at, &ended);
+    if (listed_ids.count(task) > 0) continue;
+    ReconcileUnlisted(task, local, sent_at, &ended);
   }
   for (TaskOutcome& outcome : ended) {
     const TaskId task = outcome.task;
-    End(task, std::move(outcome));
+    RecordOutcome(task, std::move(outcome));
   }
-  listed_ = true;
+  worker_list_received_ = true;
   AnswerInventory();
 }
 
-// A task that the worker's list does not name.
-void AgentCore::SettleUnlisted(const TaskId& task, LocalTask& local,
-                               TimePoint sent_at,
-                               std::vector<TaskOutcome>* ended) {
+void AgentCore::ReconcileUnlisted(const TaskId& task, LocalTask& local,
+                                  TimePoint sent_at,
+                                  std::vector<TaskOutcome>* ended) {
   if (local.phase == Phase::kRunning) {
     if (local.confirmed_at >= sent_at) return;
     const OutcomeKind kind =
-        local.stop_wanted ? OutcomeKind::kEvicted : OutcomeKind::kLost;
+        local.stop_requested ? OutcomeKind::kEvicted : OutcomeKind::kLost;
     ended->push_back(
-        {task, local.attempt, kind, "", "the worker no longer has it"});
+        {task, local.attempt, kind, "", "the worker no longer has the task"});
     return;
   }
   if (sent_at >= local.start_lease_end) {
-    // No call can take effect any more, and none had when the list was made.
-    ended->push_back({task, local.attempt, OutcomeKind::kRefused, "",
-                      "the worker did not start it in time"});
+    // No start call can take effect any more, and none had when the worker made
+    // the list.
+    ended->push_back(
+        {task, local.attempt, OutcomeKind::kRefused, "",
+         "the worker did not start the task before its lease expired"});
     return;
   }
-  // The worker takes each attempt once, so asking again is safe; of a task that
-  // is to stop it would begin what nobody wants any more.
-  const bool wanted = !local.refused && !local.stop_wanted;
-  if (!local.call_open && wanted) CommandStart(task, local);
+  // The worker starts each attempt at most once, so repeating the call is safe.
+  // A task that is to be stopped must not be started by a repetition.
+  const bool wanted = !local.start_refused && !local.stop_requested;
+  if (!local.start_call_pending && wanted) EnqueueStart(task, local);
 }
 
 void AgentCore::ReconcileListed(const WorkerTask& listed) {
@@ -320,7 +321,7 @@
   if (ended != outcomes_.end()) return;
   auto it = tasks_.find(listed.task);
   if (it == tasks_.end()) {
-    // Left from an earlier run of this agent.
+    // Started by a previous incarnation of this agent.
     LocalTask local;
     local.attempt = listed.attempt;
     local.granted = listed.granted;
@@ -333,7 +334,7 @@
                       listed.checkpoint, listed.reason};
   switch (listed.state) {
     case WorkerTaskState::kRunning:
-      if (it->second.stop_wanted) CommandStop(listed.task, it->second);
+      if (it->second.stop_requested) EnqueueStop(listed.task, it->second);
       return;
     case WorkerTaskState::kDone:
       break;
@@ -344,17 +345,17 @@
       outcome.kind = OutcomeKind::kEvicted;
       break;
   }
-  End(listed.task, std::move(outcome));
+  RecordOutcome(listed.task, std::move(outcome));
 }
 
 void AgentCore::OnServiceLatency(Duration latency, Duration target,
                                  TimePoint now) {
-  switch (ladder_.Observe(latency, target, now)) {
+  switch (throttle_policy_.Observe(latency, target, now)) {
     case YieldStep::kNone:
       return;
     case YieldStep::kThrottle:
     case YieldStep::kRelease:
-      CommandThrottle();
+      EnqueueThrottle();
       return;
     case YieldStep::kEvict:
       SendToOwner(BatchEvictionRequest{CurrentFence()});
@@ -363,14 +364,16 @@
 }
 
 void AgentCore::OnServiceIdle(Duration target, TimePoint now) {
-  // Samples of an idle service would only blur those of a busy one.
-  if (ladder_.throttled()) OnServiceLatency(Duration(0), target, now);
+  // Samples of an idle service would distort those of a busy one, so they only
+  // serve to end throttling.
+  if (throttle_policy_.throttled()) OnServiceLatency(Duration(0), target, now);
 }
 
-void AgentCore::CommandThrottle() {
+void AgentCore::EnqueueThrottle() {
   WorkerCommand command;
   command.kind = WorkerCommandKind::kThrottle;
-  command.percent = ladder_.throttled() ? kThrottledPercent : kFullPercent;
+  command.percent =
+      throttle_policy_.throttled() ? kThrottledPercent : kFullPercent;
   commands_.push_back(std::move(command));
 }
 
@@ -379,38 +382,38 @@
   SendToOwner(Outcomes{CurrentFence(), std::exchange(new_outcomes_, {})});
 }
 
-void AgentCore::CheckpointBeforeLapse(TimePoint now) {
-  // A new run of the agent holds no lease yet; what it found on its worker
-  // runs under the lease of the run before.
+void AgentCore::EvictBeforeLeaseExpiry(TimePoint now) {
+  // A new incarnation of the agent holds no lease yet; tasks that it found on
+  // the worker run under the lease of the previous incarnation.
   if (lease_end_ == TimePoint{}) return;
-  if (lapse_handled_ || tasks_.empty()) return;
-  if (now + checkpoint_lead_ < lease_end_) return;
-  lapse_handled_ = true;
+  if (expiry_handled_ || tasks_.empty()) return;
+  if (now + effective_checkpoint_lead_ < lease_end_) return;
+  expiry_handled_ = true;
   for (auto& [task, local] : tasks_) {
-    if (local.stop_wanted) continue;
-    local.stop_wanted = true;
+    if (local.stop_requested) continue;
+    local.stop_requested = true;
     local.stop_mode = StopMode::kEvict;
-    CommandStop(task, local);
-    ++counts_.lapsed;
+    EnqueueStop(task, local);
+    ++counts_.evicted_before_expiry;
   }
 }
 
 void AgentCore::Tick(TimePoint now) {
-  CheckpointBeforeLapse(now);
-  if (now < last_heartbeat_ + options_.heartbeat_interval) return;
-  last_heartbeat_ = now;
+  EvictBeforeLeaseExpiry(now);
+  if (now < last_heartbeat_at_ + options_.heartbeat_interval) return;
+  last_heartbeat_at_ = now;
   if (epoch_ > 0) SendToOwner(Heartbeat{CurrentFence(), now});
-  if (first_tick_ == TimePoint{}) first_tick_ = now;
+  if (first_tick_at_ == TimePoint{}) first_tick_at_ = now;
   const bool link_down = epoch_ > 0 && links_.count(owner_) == 0;
-  const TimePoint heard = std::max(last_grant_, first_tick_);
-  if (!link_down && now < heard + options_.owner_lost_after) return;
+  const TimePoint last_heard = std::max(last_grant_at_, first_tick_at_);
+  if (!link_down && now < last_heard + options_.owner_lost_after) return;
   for (const auto& [entry, link] : links_) {
     if (entry == owner_) continue;
     outbox_.push_back({entry, OwnerLost{epoch_}});
   }
   if (!link_down && epoch_ > 0 && now >= lease_end_) {
     link_to_reset_ = owner_;
-    last_grant_ = now;
+    last_grant_at_ = now;
   }
 }
 
--- a/beamhill/agent/agent_core.h
+++ b/beamhill/agent/agent_core.h
@@ -1,10 +1,13 @@
-// The agent of one VM: last arbiter of its capacity and keeper of its leases.
+// Task control of one VM's agent: checks every order of the cell's owner
+// against the VM's capacity, lease, epoch and session before it reaches the
+// worker.
 //
-// Pure, like the cell's owner: messages, the worker's answers and times go
-// in; messages and commands for the worker come out.
+// Performs no I/O and reads no clock: its inputs are messages, replies of the
+// worker and times; its outputs are messages to entries and commands to the
+// worker.
 //
 //   auto agent = AgentCore::Create(options);
-//   agent->OnWorkerList(tasks, sent_at, now);    // first of all
+//   agent->OnWorkerList(tasks, sent_at);  // Before anything else.
 //   const Session session = agent->OnLinkUp("entry-1");
 //   agent->OnMessage("entry-1", message, now);
 //   for (auto& m : agent->TakeMessages()) Send(m.entry, m.message);
@@ -26,14 +29,15 @@
 
 namespace beamhill {
 
-// A task in the worker's list.
+// State of a task in the worker's list.
 enum class WorkerTaskState : uint8_t {
   kRunning,
   kDone,
   kFailed,
-  kEvicted,  // Stopped on request, or because its lease lapsed.
+  kEvicted,  // Stopped on request, or because its lease expired.
 };
 
+// A task in the worker's list.
 struct WorkerTask {
   TaskId task;
   Attempt attempt;
@@ -45,11 +49,11 @@
 
 enum class WorkerCommandKind : uint8_t {
   kStart,
-  kRenew,     // All tasks' leases, until `lease_end`.
-  kCancel,    // Stop, without a checkpoint.
+  kRenew,     // Extend the leases of all tasks until `lease_end`.
+  kCancel,    // Stop without a checkpoint.
   kEvict,     // Checkpoint, then stop.
-  kForget,    // Drop an ended task from the list.
-  kThrottle,  // Let batch tasks run at `percent` of their speed.
+  kForget,    // Remove an ended task from the list.
+  kThrottle,  // Run batch tasks at `percent` of their full speed.
 };
 
 struct WorkerCommand {
@@ -57,86 +61,96 @@
   TaskId task;
   Attempt attempt;
   JobSpec job;             // For kStart.
-  std::string checkpoint;  // For kStart: to resume from.
+  std::string checkpoint;  // For kStart: to resume from; may be empty.
   TimePoint lease_end{};   // For kStart and kRenew, on the agent's clock.
   int percent = 100;       // For kThrottle.
 };
 
 enum class WorkerStartAnswer : uint8_t {
   kStarted,
-  kRefused,  // Not started, and this attempt never will be.
-  kUnknown,  // The answer was lost; the next list tells.
+  kRefused,  // Not started; this call will not start the attempt later either.
+  kUnknown,  // The reply was lost; the next list shows whether it started.
 };
 
 struct AgentCoreOptions {
   std::string vm;
   Resources capacity;
   uint64_t incarnation = 0;
-  // A lease is cut short by this share, against clocks of other rates.
+  // Leases are shortened by this fraction, in case the agent's clock runs
+  // slower than the owner's.
   int64_t clock_rate_error_permille = 2;
   Duration heartbeat_interval = std::chrono::seconds(1);
-  // An owner that has granted nothing for so long is reported as lost.
+  // An owner that has granted no lease for this long is reported as lost.
   Duration owner_lost_after = std::chrono::seconds(3);
-  // Tasks are checkpointed so long before their lease would lapse, and at
-  // most a quarter of the granted term before it.
+  // Tasks are checkpointed this long before their lease expires, but at most a
+  // quarter of the granted term before it.
   Duration checkpoint_lead = std::chrono::seconds(15);
 };
 
+// A message to the named entry.
 struct EntryMessage {
   std::string entry;
   Message message;
 };
 
+// Totals since the start of the process.
 struct AgentCoreCounts {
   uint64_t starts = 0;
   uint64_t refused_capacity = 0;
   uint64_t refused_lease = 0;
-  uint64_t stale_messages = 0;
-  uint64_t lapsed = 0;
+  uint64_t stale_messages = 0;         // Of another epoch, session or owner.
+  uint64_t evicted_before_expiry = 0;  // Tasks whose lease was not renewed.
 };
 
+// Tracks the tasks of one VM under the lease of its cell's owner. Not
+// thread-safe.
 class AgentCore {
  public:
   static std::unique_ptr<AgentCore> Create(const AgentCoreOptions& options);
 
-  // A new link to the entry; earlier ones are over.
+  // Records a new link to the entry, which replaces any earlier one. Returns
+  // the session to announce on it.
   Session OnLinkUp(const std::string& entry);
   void OnLinkDown(const std::string& entry);
 
-  // Returns without effect on messages that are not about tasks.
+  // Handles task control messages and ignores all others.
   void OnMessage(const std::string& entry, const Message& message,
                  TimePoint now);
 
-  // The worker's whole list, asked for at `sent_at`. Until the first list an
-  // inventory is not answered.
+  // Reconciles the tasks with the worker's complete list, requested at
+  // `sent_at`. Inventory requests are answered only after the first list.
   void OnWorkerList(const std::vector<WorkerTask>& list, TimePoint sent_at);
   void OnStartAnswer(const TaskId& task, Attempt attempt,
                      WorkerStartAnswer answer, const std::string& reason,
                      TimePoint now);
 
-  // The VM's service had this mean latency lately. The agent throttles at
-  // once by itself; what that does not mend it asks the owner to evict for.
+  // Takes a sample of the mean latency of the VM's service. Above the target,
+  // batch tasks are throttled at once; if that does not suffice, the owner is
+  // asked to evict one.
   void OnServiceLatency(Duration latency, Duration target, TimePoint now);
-  // The VM's service has had no request lately.
+  // Reports that the VM's service had no requests since the last sample.
   void OnServiceIdle(Duration target, TimePoint now);
 
-  // Heartbeats, lost owners, the approach of the lease's end.
+  // Sends heartbeats, detects a lost owner, and checkpoints tasks before their
+  // lease expires.
   void Tick(TimePoint now);
 
   std::vector<EntryMessage> TakeMessages();
   std::vector<WorkerCommand> TakeCommands();
-  // The owner's link is up but silent for a whole lease: dial it anew.
+  // Returns the owner's name if its link is up but brought no grant for a whole
+  // lease, so that the caller closes the link and dials again.
   std::optional<std::string> TakeLinkToReset();
 
   uint64_t epoch() const { return epoch_; }
-  // What the messages of the current owner must carry.
+  // Returns the fence that messages of the current owner must carry.
   Fence current_fence() const { return CurrentFence(); }
   const std::string& owner() const { return owner_; }
   TimePoint lease_end() const { return lease_end_; }
   Resources granted() const { return granted_; }
   size_t running() const { return tasks_.size(); }
-  bool throttled() const { return ladder_.throttled(); }
-  size_t unsettled() const { return outcomes_.size(); }
+  bool throttled() const { return throttle_policy_.throttled(); }
+  // Number of outcomes that the owner has not acknowledged.
+  size_t unacknowledged() const { return outcomes_.size(); }
   const AgentCoreCounts& counts() const { return counts_; }
 
  private:
@@ -147,21 +161,23 @@
     JobSpec job;
     std::string checkpoint;
     Resources granted;
-    // Every call for this attempt carries this end, so none takes effect
-    // after it, however late it arrives.
+    // Every start call of this attempt carries this lease end, so that a
+    // delayed call has no effect after it.
     TimePoint start_lease_end{};
-    bool call_open = false;
-    bool call_lost = false;  // Some call's answer was lost.
-    bool refused = false;
-    bool stop_wanted = false;
+    bool start_call_pending = false;
+    bool start_reply_lost = false;  // For at least one start call.
+    bool start_refused = false;
+    bool stop_requested = false;
     StopMode stop_mode = StopMode::kCancel;
-    // When the worker confirmed the start; lists asked for earlier may not
-    // show the task.
+    // When the worker confirmed the start; lists requested earlier may not
+    // contain the task.
     TimePoint confirmed_at{};
   };
 
   explicit AgentCore(const AgentCoreOptions& options);
 
+  // Returns whether a message with this fence comes from the current owner, on
+  // its current link and in the current epoch. Counts those that do not.
   bool IsCurrent(const std::string& entry, const Fence& fence);
   void OnInventoryRequest(const std::string& entry,
                           const InventoryRequest& request);
@@ -169,44 +185,52 @@
   void OnStartTasks(const std::string& entry, const StartTasks& starts,
                     TimePoint now);
   void OnStopTasks(const std::string& entry, const StopTasks& stops);
-  void OnSettled(const std::string& entry, const AcknowledgeOutcomes& settled);
+  void OnAcknowledgeOutcomes(const std::string& entry,
+                             const AcknowledgeOutcomes& ack);
   void StartOne(const JobSpec& job, const StartTask& start, TimePoint now);
+  // Reports a refusal once, without keeping it: nothing ran, and an owner that
+  // misses the report finds the task missing from the next inventory.
   void Refuse(const TaskId& task, Attempt attempt, const std::string& reason);
   void AnswerInventory();
-  void End(const TaskId& task, TaskOutcome outcome);
+  // Removes the task and keeps its outcome until the owner acknowledges it; a
+  // refusal is only reported.
+  void RecordOutcome(const TaskId& task, TaskOutcome outcome);
   void ReconcileListed(const WorkerTask& listed);
-  void CommandStart(const TaskId& task, LocalTask& local);
-  void SettleUnlisted(const TaskId& task, LocalTask& local, TimePoint sent_at,
-                      std::vector<TaskOutcome>* ended);
-  void CommandStop(const TaskId& task, const LocalTask& local);
+  void EnqueueStart(const TaskId& task, LocalTask& local);
+  // Handles a task that is missing from the worker's list requested at
+  // `sent_at`: repeats its start or appends its outcome to `ended`.
+  void ReconcileUnlisted(const TaskId& task, LocalTask& local,
+                         TimePoint sent_at, std::vector<TaskOutcome>* ended);
+  void EnqueueStop(const TaskId& task, const LocalTask& local);
   void SendOutcomes();
   void SendToOwner(Message message);
   Fence CurrentFence() const;
-  void CheckpointBeforeLapse(TimePoint now);
-  void CommandThrottle();
+  void EvictBeforeLeaseExpiry(TimePoint now);
+  void EnqueueThrottle();
 
   AgentCoreOptions options_;
-  std::map<std::string, uint32_t> links_;  // Live links, by entry.
+  std::map<std::string, uint32_t> links_;  // Open links, by entry.
   uint32_t next_link_ = 1;
 
   uint64_t epoch_ = 0;
+  // The owner has confirmed that it owns the cell in `epoch_`.
   bool epoch_confirmed_ = false;
   std::string owner_;
   TimePoint lease_end_{};
-  Duration checkpoint_lead_{};
-  TimePoint last_grant_{};
-  TimePoint last_heartbeat_{};
-  TimePoint first_tick_{};
-  bool lapse_handled_ = false;
-
-  YieldLadder ladder_;
-  TimePoint last_throttle_{};
-  bool listed_ = false;  // The worker's list has been seen.
-  bool inventory_wanted_ = false;
+  Duration effective_checkpoint_lead_{};
+  TimePoint last_grant_at_{};
+  TimePoint last_heartbeat_at_{};
+  TimePoint first_tick_at_{};
+  bool expiry_handled_ = false;
+
+  YieldLadder throttle_policy_;
+  TimePoint last_throttle_at_{};
+  bool worker_list_received_ = false;
+  bool inventory_pending_ = false;
   uint32_t inventory_number_ = 0;
   std::map<TaskId, LocalTask> tasks_;
-  std::map<TaskId, TaskOutcome> outcomes_;
-  std::vector<TaskOutcome> new_outcomes_;
+  std::map<TaskId, TaskOutcome> outcomes_;  // Not acknowledged yet.
+  std::vector<TaskOutcome> new_outcomes_;   // Not sent yet.
   Resources granted_;
 
   std::vector<EntryMessage> outbox_;
--- a/beamhill/agent/agent_core_test.cc
+++ b/beamhill/agent/agent_core_test.cc
@@ -81,10 +81,10 @@
   EXPECT_TRUE(kVm.Holds(core_->granted()));
 }
 
-// The answer to a start was lost and its task was cancelled. The worker's next
-// list did not name the task, and the agent asked for it once more: cancelled
-// work began.
-TEST_F(AgentCoreTest, StartIsNotRepeatedOnceItsTaskIsToStop) {
+// Guards against starting cancelled work: the reply to a start was lost, the
+// task was cancelled, and the agent repeated the start since the worker's next
+// list did not contain the task.
+TEST_F(AgentCoreTest, DoesNotRepeatStartOfCancelledTask) {
   Start(0, 1, kStart);
   EXPECT_EQ(StartCommands(), 1);
   const Attempt attempt = Attempt::Make(1, 1);
@@ -95,7 +95,7 @@
   core_->OnWorkerList({}, kStart + seconds(1));
   EXPECT_EQ(StartCommands(), 0);
   Outcomes();
-  // Until then the lost start might still have taken effect.
+  // The lost start could take effect until the lease end that it carries.
   core_->OnWorkerList({}, kStart + seconds(10));
   core_->Tick(kStart + seconds(10));
   const auto outcomes = Outcomes();
@@ -103,8 +103,9 @@
   EXPECT_EQ(outcomes[0].kind, OutcomeKind::kRefused);
 }
 
-// What must not start a task: each row is one late or foreign message.
-TEST_F(AgentCoreTest, DropsStartsThatAreNotCurrent) {
+// Each row is a delayed message or one of another epoch, incarnation or link,
+// none of which may start a task.
+TEST_F(AgentCoreTest, DropsStaleStarts) {
   struct Row {
     const char* what;
     Fence fence;
@@ -114,14 +115,14 @@
   old_epoch.epoch = 0;
   Fence new_epoch = fence_;
   new_epoch.epoch = 2;
-  Fence other_run = fence_;
-  other_run.session.incarnation = 4;
+  Fence other_incarnation = fence_;
+  other_incarnation.session.incarnation = 4;
   Fence other_link = fence_;
   other_link.session.link += 1;
   const Row rows[] = {
       {"old epoch", old_epoch, kStart},
       {"epoch not introduced", new_epoch, kStart},
-      {"another run of the agent", other_run, kStart},
+      {"another incarnation of the agent", other_incarnation, kStart},
       {"another link", other_link, kStart},
       {"lease over", fence_, kStart + seconds(10)},
   };
@@ -131,13 +132,13 @@
   }
 }
 
-TEST_F(AgentCoreTest, CountsItsLeaseFromItsOwnStamp) {
+TEST_F(AgentCoreTest, LeaseStartsAtTheAgentsOwnTimeStamp) {
   core_->OnMessage("e", Grant{fence_, kStart + seconds(1), seconds(10)},
                    kStart + seconds(500));
   EXPECT_LE(core_->lease_end(), kStart + seconds(11));
 }
 
-TEST_F(AgentCoreTest, ObeysTheHigherEpochOnly) {
+TEST_F(AgentCoreTest, ObeysOnlyTheHighestEpoch) {
   const Session session = core_->OnLinkUp("f");
   core_->OnMessage("f", InventoryRequest{"c", true, 1, Fence{2, session}},
                    kStart);
@@ -148,9 +149,9 @@
   EXPECT_EQ(core_->owner(), "f");
 }
 
-// Found by the simulation: a call whose answer was lost took effect after
-// another call for the same attempt had been refused.
-TEST_F(AgentCoreTest, RefusalIsNotBelievedWhileAnotherCallMayTakeEffect) {
+// Guards against reporting a running task as refused: a start call whose reply
+// was lost took effect after another call of the same attempt had been refused.
+TEST_F(AgentCoreTest, RefusalDoesNotCountWhileAnotherCallMayTakeEffect) {
   Start(0, 1, kStart);
   EXPECT_EQ(StartCommands(), 1);
   const TaskId task{"j", 0};
@@ -170,26 +171,27 @@
   EXPECT_EQ(outcomes[0].kind, OutcomeKind::kRefused);
 }
 
-TEST_F(AgentCoreTest, KeepsAnOutcomeUntilItIsSettled) {
+TEST_F(AgentCoreTest, KeepsOutcomeUntilAcknowledged) {
   Start(0, 1, kStart);
   const Attempt attempt = Attempt::Make(1, 1);
   core_->OnWorkerList(
       {{{"j", 0}, attempt, WorkerTaskState::kDone, {1000, 1000, 0}, "", ""}},
       kStart + seconds(1));
   EXPECT_EQ(Outcomes().size(), 1U);
-  EXPECT_EQ(core_->unsettled(), 1U);
-  // A new owner learns of it from the inventory.
+  EXPECT_EQ(core_->unacknowledged(), 1U);
+  // A new owner gets the outcome with the inventory.
   const Session session = core_->OnLinkUp("f");
   const Fence fence{2, session};
   core_->OnMessage("f", InventoryRequest{"c", true, 1, fence}, kStart);
   const auto messages = core_->TakeMessages();
   ASSERT_EQ(messages.size(), 1U);
   EXPECT_EQ(std::get<Inventory>(messages[0].message).outcomes.size(), 1U);
-  core_->OnMessage("f", AcknowledgeOutcomes{fence, {{{"j", 0}, attempt}}}, kStart);
-  EXPECT_EQ(core_->unsettled(), 0U);
+  core_->OnMessage("f", AcknowledgeOutcomes{fence, {{{"j", 0}, attempt}}},
+                   kStart);
+  EXPECT_EQ(core_->unacknowledged(), 0U);
 }
 
-TEST_F(AgentCoreTest, TaskThatItsWorkerHasNoLongerIsLostAndNotEvicted) {
+TEST_F(AgentCoreTest, TaskMissingFromWorkerListIsLostNotEvicted) {
   const Attempt attempt = Attempt::Make(1, 1);
   Start(0, 1, kStart);
   core_->OnStartAnswer({"j", 0}, attempt, WorkerStartAnswer::kStarted, "",
@@ -200,7 +202,7 @@
   EXPECT_EQ(outcomes[0].kind, OutcomeKind::kLost);
 }
 
-TEST_F(AgentCoreTest, CheckpointsBeforeItsLeaseLapses) {
+TEST_F(AgentCoreTest, CheckpointsBeforeLeaseExpires) {
   Start(0, 1, kStart);
   core_->TakeCommands();
   core_->Tick(kStart + seconds(7));
@@ -211,11 +213,9 @@
   EXPECT_EQ(commands[0].kind, WorkerCommandKind::kEvict);
 }
 
-// Found by the simulation: an owner that had lost its cell told a restarted
-// agent to forget a result that only the later owner wanted.
-// Found with real processes: a lead longer than the lease evicted every task
-// as soon as it had started.
-TEST_F(AgentCoreTest, ALongLeadDoesNotEvictUnderAShortLease) {
+// Guards against evicting every task right after its start, which happened when
+// the checkpoint lead was longer than the lease.
+TEST_F(AgentCoreTest, LongCheckpointLeadDoesNotEvictUnderShortLease) {
   AgentCoreOptions options;
   options.capacity = kVm;
   options.incarnation = 5;
@@ -231,7 +231,9 @@
   EXPECT_TRUE(core_->TakeCommands().empty());
 }
 
-TEST_F(AgentCoreTest, AFreshAgentSettlesNothingForAnUnconfirmedOwner) {
+// Guards against losing a result: an owner that had lost its cell told a
+// restarted agent to forget a result that the next owner had not received.
+TEST_F(AgentCoreTest, RestartedAgentForgetsNothingForUnconfirmedOwner) {
   AgentCoreOptions options;
   options.capacity = kVm;
   options.incarnation = 6;
@@ -242,11 +244,12 @@
       kStart);
   fence_ = Fence{2, core_->OnLinkUp("e")};
   core_->OnMessage("e", InventoryRequest{"c", false, 1, fence_}, kStart);
-  core_->OnMessage("e", AcknowledgeOutcomes{fence_, {{{"j", 0}, attempt}}}, kStart);
-  EXPECT_EQ(core_->unsettled(), 1U);
+  core_->OnMessage("e", AcknowledgeOutcomes{fence_, {{{"j", 0}, attempt}}},
+                   kStart);
+  EXPECT_EQ(core_->unacknowledged(), 1U);
 }
 
-TEST_F(AgentCoreTest, AFreshAgentStartsNothingForAnUnconfirmedOwner) {
+TEST_F(AgentCoreTest, RestartedAgentStartsNothingForUnconfirmedOwner) {
   AgentCoreOptions options;
   options.capacity = kVm;
   options.incarnation = 6;
@@ -262,10 +265,10 @@
   EXPECT_EQ(StartCommands(), 1);
 }
 
-// The call that ended the throttling was lost, the agent took it for done, and
-// batch tasks crawled on for good. The same of one that began it: the service
-// was not relieved.
-TEST_F(AgentCoreTest, ThrottleIsOrderedAgainWhateverBecameOfTheFirstCall) {
+// Guards against a lost throttle command: without repetition, batch tasks
+// stayed throttled forever when the command that ended throttling was lost, and
+// the service stayed slow when the one that began it was lost.
+TEST_F(AgentCoreTest, RepeatsThrottleCommands) {
   Start(0, 1, kStart);
   const auto throttles = [this](TimePoint from, TimePoint to) {
     std::vector<int> percents;
@@ -309,9 +312,10 @@
   EXPECT_EQ(std::count(full.begin(), full.end(), 100), int(full.size()));
 }
 
-// A service that got no more requests while batch tasks were throttled gave no
-// more samples either, and they crawled on until somebody called it again.
-TEST_F(AgentCoreTest, ThrottlingEndsOnceTheServiceIsIdle) {
+// Guards against throttling without end: a service that gets no more requests
+// yields no more latency samples, so batch tasks stayed throttled until its
+// next request.
+TEST_F(AgentCoreTest, ThrottlingEndsWhenServiceIsIdle) {
   TimePoint now = kStart;
   for (int i = 0; i < 5; ++i, now += seconds(1)) {
     core_->OnServiceLatency(seconds(5), seconds(1), now);
@@ -319,14 +323,15 @@
   ASSERT_TRUE(core_->throttled());
   for (int i = 0; i < 60; ++i, now += seconds(1)) {
     core_->OnServiceIdle(seconds(1), now);
-    EXPECT_TRUE(core_->throttled() || i >= 10) << "calm must last";
+    EXPECT_TRUE(core_->throttled() || i >= 10)
+        << "throttling ended after too short an idle time";
   }
   EXPECT_FALSE(core_->throttled());
 }
 
-// The call that stops a task was lost: the agent had it down as on its way, and
-// the task would have run on.
-TEST_F(AgentCoreTest, StopIsOrderedOfTheWorkerUntilItsListShowsTheEnd) {
+// Guards against a task that keeps running because the command to stop it was
+// lost.
+TEST_F(AgentCoreTest, RepeatsStopUntilWorkerListShowsTheEnd) {
   const TaskId task{"j", 0};
   const Attempt attempt = Attempt::Make(1, 1);
   Start(0, 1, kStart);
--- a/beamhill/agent/idempotency_key_store.cc
+++ b/beamhill/agent/idempotency_key_store.cc
@@ -2,11 +2,12 @@
 
 namespace beamhill {
 
-KeyLookup KeyMemory::Begin(const std::string& key, TimePoint now) {
-  DropOld(now);
+KeyLookup IdempotencyKeyStore::Begin(const std::string& key, TimePoint now) {
+  RemoveExpired(now);
   const auto it = keys_.find(key);
   if (it == keys_.end()) {
-    // Forgetting a key early could run it twice, so a full memory refuses.
+    // Evicting an unexpired key could execute its request twice, so a full
+    // store rejects new keys.
     if (keys_.size() >= max_keys_) return {KeyState::kFull, nullptr};
     keys_.emplace(key, Entry{});
     return {KeyState::kNew, nullptr};
@@ -16,16 +17,19 @@
   return {KeyState::kAnswered, it->second.answer};
 }
 
-bool KeyMemory::Claim(const std::string& key, TimePoint now) {
+bool IdempotencyKeyStore::Claim(const std::string& key, TimePoint now) {
   if (Begin(key, now).state != KeyState::kNew) return false;
   End(key, nullptr, now);
   return true;
 }
 
-void KeyMemory::Abandon(const std::string& key) { keys_.erase(key); }
+void IdempotencyKeyStore::MarkNotRun(const std::string& key) {
+  keys_.erase(key);
+}
 
-void KeyMemory::End(const std::string& key,
-                    std::shared_ptr<const KeptAnswer> answer, TimePoint now) {
+void IdempotencyKeyStore::End(const std::string& key,
+                              std::shared_ptr<const CachedResponse> answer,
+                              TimePoint now) {
   const auto it = keys_.find(key);
   if (it == keys_.end()) return;
   it->second.in_progress = false;
@@ -34,9 +38,9 @@
   ended_.emplace_back(now, key);
 }
 
-void KeyMemory::DropOld(TimePoint now) {
-  while (!ended_.empty() && ended_.front().first + keep_for_ <= now) {
-    // Unless it was released and has begun anew since.
+void IdempotencyKeyStore::RemoveExpired(TimePoint now) {
+  while (!ended_.empty() && ended_.front().first + retention_ <= now) {
+    // Keep a key that was removed as not run and has been used again since.
     const auto it = keys_.find(ended_.front().second);
     if (it != keys_.end() && it->second.ended_at == ended_.front().first) {
       keys_.erase(it);
--- a/beamhill/agent/idempotency_key_store.h
+++ b/beamhill/agent/idempotency_key_store.h
@@ -1,10 +1,13 @@
-// What became of each idempotency key: at most one run for a key.
+// Idempotency keys of one runner: executes each key at most once.
 //
-// Pure. Ended keys are kept for a time and up to a number; answers that are
-// short enough are kept whole, to be given again.
+// Performs no I/O and reads no clock. Completed keys are kept for a retention
+// time, up to a maximum number of keys; a response that is small enough to be
+// cached is replayed to later requests with the same key.
 //
 //   switch (keys.Begin(key, now).state) {
-//     case KeyState::kNew: ...run it, then keys.End(key, answer, now);
+//     case KeyState::kNew:
+//       // Execute the request, then:
+//       keys.End(key, response, now);
 #ifndef BEAMHILL_AGENT_IDEMPOTENCY_KEY_STORE_H_
 #define BEAMHILL_AGENT_IDEMPOTENCY_KEY_STORE_H_
 
@@ -22,39 +25,46 @@
 namespace beamhill {
 
 enum class KeyState : uint8_t {
-  kNew,         // Not seen before; now in progress.
-  kInProgress,  // Runs at this moment.
-  kAnswered,    // Ran; `answer` holds what was answered.
-  kUnknown,     // Was handed to the runner; its answer is not known whole.
-  kFull,        // No room to remember one more key.
+  kNew,         // Not seen before; now recorded as in progress.
+  kInProgress,  // The request is being executed.
+  kAnswered,    // Executed; `answer` holds the response.
+  kUnknown,     // Sent to the runner or claimed; no complete response is kept.
+  kFull,        // Not recorded: the store is at its maximum size.
 };
 
-struct KeptAnswer {
+// A complete response that is replayed to repeated requests.
+struct CachedResponse {
   uint32_t status = 0;
   HeaderList headers;
   std::string body;
 };
 
+// Result of a lookup. `answer` is set only in state kAnswered.
 struct KeyLookup {
   KeyState state = KeyState::kNew;
-  std::shared_ptr<const KeptAnswer> answer;
+  std::shared_ptr<const CachedResponse> answer;
 };
 
-class KeyMemory {
+// Maps idempotency keys to the state of their request. Not thread-safe.
+class IdempotencyKeyStore {
  public:
-  KeyMemory(Duration keep_for, size_t max_keys)
-      : keep_for_(keep_for), max_keys_(max_keys) {}
+  IdempotencyKeyStore(Duration retention, size_t max_keys)
+      : retention_(retention), max_keys_(max_keys) {}
 
-  bool Knows(const std::string& key) const { return keys_.count(key) > 0; }
-  // Looks a key up, and begins it when it is new.
+  bool ContainsKey(const std::string& key) const {
+    return keys_.count(key) > 0;
+  }
+  // Looks up a key, and records it as in progress if it is new.
   KeyLookup Begin(const std::string& key, TimePoint now);
-  // Remembers a key that another runner is about to run. True when it is new
-  // here; false also when there is no room to remember it.
+  // Records a key that another runner is about to execute. Returns true if the
+  // key was new; false if it was known, or if the store is full.
   bool Claim(const std::string& key, TimePoint now);
-  // It provably did not run: the key is new again.
-  void Abandon(const std::string& key);
-  // It ran, and this was answered; a null answer is an unknown one.
-  void End(const std::string& key, std::shared_ptr<const KeptAnswer> answer,
+  // Removes a key whose request provably did not run, so that it counts as new.
+  void MarkNotRun(const std::string& key);
+  // Records that the request of `key` ended. A null `answer` means that its
+  // outcome is unknown or its response was not cached. No effect on a key that
+  // the store does not contain.
+  void End(const std::string& key, std::shared_ptr<const CachedResponse> answer,
            TimePoint now);
 
   size_t size() const { return keys_.size(); }
@@ -63,14 +73,15 @@
   struct Entry {
     bool in_progress = true;
     TimePoint ended_at{};
-    std::shared_ptr<const KeptAnswer> answer;
+    std::shared_ptr<const CachedResponse> answer;
   };
 
-  void DropOld(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
-  Duration keep_for_;
+  Duration retention_;
   size_t max_keys_;
   std::map<std::string, Entry> keys_;
+  // Ended keys in order of their end, for expiry.
   std::deque<std::pair<TimePoint, std::string>> ended_;
 };
 
--- a/beamhill/agent/idempotency_key_store_test.cc
+++ b/beamhill/agent/idempotency_key_store_test.cc
@@ -9,48 +9,48 @@
 
 constexpr TimePoint kNow{std::chrono::hours(1)};
 
-TEST(KeyMemory, RunsAKeyOnce) {
-  KeyMemory keys(minutes(10), 10);
+TEST(IdempotencyKeyStore, StartsANewKeyOnce) {
+  IdempotencyKeyStore keys(minutes(10), 10);
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kNew);
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kInProgress);
-  keys.End("k", std::make_shared<KeptAnswer>(), kNow);
+  keys.End("k", std::make_shared<CachedResponse>(), kNow);
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kAnswered);
 }
 
-TEST(KeyMemory, AnUnknownEndIsNotRunAgain) {
-  KeyMemory keys(minutes(10), 10);
+TEST(IdempotencyKeyStore, KeyWithUnknownOutcomeIsNotRunAgain) {
+  IdempotencyKeyStore keys(minutes(10), 10);
   keys.Begin("k", kNow);
   keys.End("k", nullptr, kNow);
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kUnknown);
 }
 
-TEST(KeyMemory, AProvenNotRunIsNewAgain) {
-  KeyMemory keys(minutes(10), 10);
+TEST(IdempotencyKeyStore, KeyMarkedNotRunIsNewAgain) {
+  IdempotencyKeyStore keys(minutes(10), 10);
   keys.Begin("k", kNow);
-  keys.Abandon("k");
+  keys.MarkNotRun("k");
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kNew);
 }
 
-TEST(KeyMemory, AClaimedKeyIsNotRunHere) {
-  KeyMemory keys(minutes(10), 10);
+TEST(IdempotencyKeyStore, ClaimedKeyIsNotRunLocally) {
+  IdempotencyKeyStore keys(minutes(10), 10);
   EXPECT_TRUE(keys.Claim("k", kNow));
   EXPECT_FALSE(keys.Claim("k", kNow));
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kUnknown);
-  keys.Abandon("k");
+  keys.MarkNotRun("k");
   EXPECT_EQ(keys.Begin("k", kNow).state, KeyState::kNew);
 }
 
-TEST(KeyMemory, AReleasedKeyIsNotForgottenByItsEarlierClaim) {
-  KeyMemory keys(minutes(10), 10);
+TEST(IdempotencyKeyStore, ExpiryOfAnOldClaimKeepsAKeyUsedAgainSince) {
+  IdempotencyKeyStore keys(minutes(10), 10);
   keys.Claim("k", kNow);
-  keys.Abandon("k");
+  keys.MarkNotRun("k");
   keys.Begin("k", kNow + minutes(5));
   keys.End("k", nullptr, kNow + minutes(6));
   EXPECT_EQ(keys.Begin("k", kNow + minutes(11)).state, KeyState::kUnknown);
 }
 
-TEST(KeyMemory, RefusesRatherThanForgetsWhenFull) {
-  KeyMemory keys(minutes(10), 2);
+TEST(IdempotencyKeyStore, RejectsNewKeysWhenFull) {
+  IdempotencyKeyStore keys(minutes(10), 2);
   for (const char* key : {"a", "b"}) {
     keys.Begin(key, kNow);
     keys.End(key, nullptr, kNow);
--- a/beamhill/agent/runner_proxy.cc
+++ b/beamhill/agent/runner_proxy.cc
@@ -6,60 +6,64 @@
 namespace beamhill {
 namespace {
 
-// A runner that takes longer is cut off even if no entry waits any more.
-constexpr Duration kLongestRun = std::chrono::minutes(10);
+// A request that takes longer is aborted, even if no entry waits for it any
+// more, so that it cannot hold its slot forever.
+constexpr Duration kMaxRequestTime = std::chrono::minutes(10);
 
 }  // namespace
 
-struct RunnerGate::Running {
-  std::vector<Origin> origins;  // Who gets the answer; none once given up.
+struct RunnerProxy::Running {
+  std::vector<Origin> origins;  // Receive the response; empty once abandoned.
   std::string key;
-  TimePoint began{};
+  TimePoint started_at{};
   bool head_sent = false;
-  bool keep = false;  // Whether the answer is short enough to be kept so far.
-  std::shared_ptr<KeptAnswer> answer;
+  // The request has a key, and its response so far is within the size limit.
+  bool cacheable = false;
+  std::shared_ptr<CachedResponse> answer;
 };
 
-RunnerGate::RunnerGate(EventLoop& loop, const RunnerGateOptions& options,
-                       Send send)
+RunnerProxy::RunnerProxy(EventLoop& loop, const RunnerProxyOptions& options,
+                         Send send)
     : loop_(loop),
       options_(options),
       send_(std::move(send)),
       client_(loop, options.runner, options.connections),
-      keys_(options.keep_keys, options.max_keys) {}
+      keys_(options.key_retention, options.max_keys) {}
 
-RunnerGate::~RunnerGate() = default;
+RunnerProxy::~RunnerProxy() = default;
 
-RunnerReport RunnerGate::Report() const {
+RunnerReport RunnerProxy::Report() const {
   RunnerReport report;
-  report.in_progress = in_progress_ + static_cast<uint32_t>(waiting_.size());
+  report.in_progress = in_progress_ + static_cast<uint32_t>(queue_.size());
   report.limit = options_.slots;
-  report.ended = ended_;
-  if (ended_ > 0) report.latency = latency_sum_ / ended_;
-  report.draining = leaving_;
+  report.ended = ended_since_report_;
+  if (ended_since_report_ > 0)
+    report.latency = latency_sum_since_report_ / ended_since_report_;
+  report.draining = draining_;
   return report;
 }
 
-void RunnerGate::ResetEnded() {
-  reported_full_ = in_progress_ >= options_.slots;
-  ended_ = 0;
-  latency_sum_ = Duration(0);
+void RunnerProxy::StartReportInterval() {
+  last_report_full_ = in_progress_ >= options_.slots;
+  ended_since_report_ = 0;
+  latency_sum_since_report_ = Duration(0);
 }
 
-void RunnerGate::Leave() {
-  leaving_ = true;
+void RunnerProxy::Drain() {
+  draining_ = true;
   report_changed_ = true;
-  for (const Waiting& waiting : std::exchange(waiting_, {})) {
-    Refuse(waiting.origin, "the runner is leaving");
+  for (const QueuedRequest& queued : std::exchange(queue_, {})) {
+    Refuse(queued.origin, "the runner is draining");
   }
 }
 
-void RunnerGate::Refuse(const Origin& origin, const std::string& reason) {
+void RunnerProxy::Refuse(const Origin& origin, const std::string& reason) {
   ++counts_.refused;
   send_(origin.entry, ResponseEnd{origin.id, RequestOutcome::kNotRun, reason});
 }
 
-void RunnerGate::Replay(const Origin& origin, const KeptAnswer& answer) {
+void RunnerProxy::SendCachedResponse(const Origin& origin,
+                                     const CachedResponse& answer) {
   HeaderList headers = answer.headers;
   headers.emplace_back("Beamhill-Repeated", "true");
   send_(origin.entry, ResponseStart{origin.id, answer.status, headers});
@@ -67,119 +71,125 @@
   send_(origin.entry, ResponseEnd{origin.id, RequestOutcome::kRan, ""});
 }
 
-void RunnerGate::OnRequest(const std::string& entry,
-                           const RequestStart& request) {
+void RunnerProxy::OnRequest(const std::string& entry,
+                            const RequestStart& request) {
   const Origin origin{entry, request.id};
   if (request.service != options_.service) {
-    return Refuse(origin, "this runner serves " + options_.service);
+    return Refuse(origin, "this runner serves the service " + options_.service);
   }
   const std::string& key = request.idempotency_key;
   if (!key.empty()) {
-    // A repeat is answered from memory even when the gate takes no new work.
-    const auto running = run_of_key_.find(key);
-    if (running != run_of_key_.end()) {
+    // Repeats share the response of the request in progress, even while new
+    // requests are refused.
+    const auto running = run_by_key_.find(key);
+    if (running != run_by_key_.end()) {
       Running& run = *running_.at(running->second);
       ++counts_.repeated_keys;
       if (!run.head_sent) {
         run.origins.push_back(origin);
         return;
       }
-      send_(entry, ResponseEnd{request.id, RequestOutcome::kUnknown,
-                               "the same key is being answered"});
+      send_(
+          entry,
+          ResponseEnd{request.id, RequestOutcome::kUnknown,
+                      "a request with the same key is already being answered"});
       return;
     }
   }
-  if (!key.empty() && !request.key_is_new && !keys_.Knows(key)) {
-    return Park(origin, key);
+  if (!key.empty() && !request.key_is_new && !keys_.ContainsKey(key)) {
+    return DeferRepeat(origin, key);
   }
-  if (leaving_) return Refuse(origin, "the runner is leaving");
-  if (in_progress_ >= options_.slots) return Wait(origin, request);
+  if (draining_) return Refuse(origin, "the runner is draining");
+  if (in_progress_ >= options_.slots) return EnqueueRequest(origin, request);
   Admit(origin, request);
 }
 
-void RunnerGate::Park(const Origin& origin, const std::string& key) {
+void RunnerProxy::DeferRepeat(const Origin& origin, const std::string& key) {
   ++counts_.repeated_keys;
-  Parked& parked = parked_[key];
-  parked.origins.push_back(origin);
-  if (parked.origins.size() > 1) return;
-  parked.timer =
-      loop_.After(options_.repeat_wait, [this, key] { GiveUpParked(key); });
+  DeferredRepeats& deferred = deferred_[key];
+  deferred.origins.push_back(origin);
+  if (deferred.origins.size() > 1) return;
+  deferred.timer =
+      loop_.After(options_.max_repeat_wait, [this, key] { FailDeferred(key); });
 }
 
-// The first request did not come: it may have run on a runner that is gone.
-// The key is remembered, so that a first request that comes yet does not run.
-void RunnerGate::GiveUpParked(const std::string& key) {
-  const auto it = parked_.find(key);
+// The first request may have run on a runner that is lost. Claiming the key
+// keeps that request from running here if it arrives later.
+void RunnerProxy::FailDeferred(const std::string& key) {
+  const auto it = deferred_.find(key);
   const std::vector<Origin> origins = std::move(it->second.origins);
-  parked_.erase(it);
+  deferred_.erase(it);
   keys_.Claim(key, BootClock::now());
   for (const Origin& origin : origins) {
     send_(origin.entry,
           ResponseEnd{origin.id, RequestOutcome::kUnknown,
-                      "the key was used before; its answer is not kept"});
+                      "the key was used before; its response is not cached"});
   }
 }
 
-void RunnerGate::Wait(const Origin& origin, const RequestStart& request) {
-  if (waiting_.size() >= options_.slots / 4) {
-    return Refuse(origin, "every slot of the runner is taken");
+void RunnerProxy::EnqueueRequest(const Origin& origin,
+                                 const RequestStart& request) {
+  if (queue_.size() >= options_.slots / 4) {
+    return Refuse(origin, "all slots of the runner are in use");
   }
   report_changed_ = true;
-  waiting_.push_back({origin, request, Timer()});
-  const auto it = std::prev(waiting_.end());
-  const Duration wait = std::min(options_.longest_wait, request.deadline);
+  queue_.push_back({origin, request, Timer()});
+  const auto it = std::prev(queue_.end());
+  const Duration wait = std::min(options_.max_slot_wait, request.deadline);
   it->timer = loop_.After(wait, [this, it] {
-    const Origin given_up = it->origin;
-    waiting_.erase(it);
-    Refuse(given_up, "every slot of the runner is taken");
+    const Origin timed_out = it->origin;
+    queue_.erase(it);
+    Refuse(timed_out, "all slots of the runner are in use");
   });
 }
 
-void RunnerGate::AdmitWaiting() {
-  while (!waiting_.empty() && in_progress_ < options_.slots) {
-    const Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
-    // Also a repeat of a key that has begun meanwhile is met as one.
+void RunnerProxy::AdmitQueued() {
+  while (!queue_.empty() && in_progress_ < options_.slots) {
+    const QueuedRequest next = std::move(queue_.front());
+    queue_.pop_front();
+    // Through OnRequest(), since another request with the same key may have
+    // started in the meantime.
     OnRequest(next.origin.entry, next.request);
   }
 }
 
-void RunnerGate::Admit(const Origin& origin, const RequestStart& request) {
+void RunnerProxy::Admit(const Origin& origin, const RequestStart& request) {
   const std::string& key = request.idempotency_key;
   if (!key.empty()) {
     const KeyLookup lookup = keys_.Begin(key, BootClock::now());
     if (lookup.state == KeyState::kFull) {
-      return Refuse(origin, "no room to remember another key");
+      return Refuse(origin, "the idempotency key store is full");
     }
     if (lookup.state != KeyState::kNew) {
       ++counts_.repeated_keys;
-      if (lookup.answer != nullptr) return Replay(origin, *lookup.answer);
+      if (lookup.answer != nullptr)
+        return SendCachedResponse(origin, *lookup.answer);
       send_(origin.entry,
             ResponseEnd{origin.id, RequestOutcome::kUnknown,
-                        "the key was used before; its answer is not "
-                        "kept"});
+                        "the key was used before; its response is not "
+                        "cached"});
       return;
     }
   }
   Forward(origin, request);
 }
 
-void RunnerGate::Forward(const Origin& origin, const RequestStart& request) {
+void RunnerProxy::Forward(const Origin& origin, const RequestStart& request) {
   const uint64_t run = next_run_++;
   auto running = std::make_unique<Running>();
   running->origins.push_back(origin);
   running->key = request.idempotency_key;
-  running->began = BootClock::now();
-  running->keep = !running->key.empty();
-  if (running->keep) {
-    running->answer = std::make_shared<KeptAnswer>();
-    run_of_key_[running->key] = run;
-    const auto parked = parked_.find(running->key);
-    if (parked != parked_.end()) {
-      auto& repeats = parked->second.origins;
+  running->started_at = BootClock::now();
+  running->cacheable = !running->key.empty();
+  if (running->cacheable) {
+    running->answer = std::make_shared<CachedResponse>();
+    run_by_key_[running->key] = run;
+    const auto deferred = deferred_.find(running->key);
+    if (deferred != deferred_.end()) {
+      auto& repeats = deferred->second.origins;
       running->origins.insert(running->origins.end(), repeats.begin(),
                               repeats.end());
-      parked_.erase(parked);
+      deferred_.erase(deferred);
     }
   }
   running_.emplace(run, std::move(running));
@@ -196,11 +206,12 @@
     OnBytes(run, bytes);
   };
   client_.Fetch(
-      call, kLongestRun, std::move(stream),
+      call, kMaxRequestTime, std::move(stream),
       [this, run](const HttpOutcome& outcome) { OnEnd(run, outcome); });
 }
 
-void RunnerGate::SendToAll(const Running& running, const Message& message) {
+void RunnerProxy::SendToOrigins(const Running& running,
+                                const Message& message) {
   for (const Origin& origin : running.origins) {
     Message copy = message;
     std::visit(
@@ -217,79 +228,82 @@
   }
 }
 
-void RunnerGate::OnHead(uint64_t run, int status, const HttpHeaders& headers) {
+void RunnerProxy::OnHead(uint64_t run, int status, const HttpHeaders& headers) {
   Running& running = *running_.at(run);
-  HeaderList kept;
+  HeaderList kept_headers;
   for (const HttpHeader& header : headers) {
-    if (!IsHopByHopHeader(header.first)) kept.push_back(header);
+    if (!IsHopByHopHeader(header.first)) kept_headers.push_back(header);
   }
   running.head_sent = true;
-  if (running.keep) {
+  if (running.cacheable) {
     running.answer->status = static_cast<uint32_t>(status);
-    running.answer->headers = kept;
+    running.answer->headers = kept_headers;
   }
-  SendToAll(running, ResponseStart{0, static_cast<uint32_t>(status), kept});
+  SendToOrigins(running,
+                ResponseStart{0, static_cast<uint32_t>(status), kept_headers});
 }
 
-void RunnerGate::OnBytes(uint64_t run, std::string_view bytes) {
+void RunnerProxy::OnBytes(uint64_t run, std::string_view bytes) {
   Running& running = *running_.at(run);
-  if (running.keep) {
+  if (running.cacheable) {
     running.answer->body.append(bytes);
-    if (running.answer->body.size() > options_.max_kept_answer) {
-      running.keep = false;
+    if (running.answer->body.size() > options_.max_cached_response_bytes) {
+      running.cacheable = false;
       running.answer.reset();
     }
   }
-  SendToAll(running, ResponseBytes{0, std::string(bytes)});
+  SendToOrigins(running, ResponseBytes{0, std::string(bytes)});
 }
 
-void RunnerGate::OnEnd(uint64_t run, const HttpOutcome& outcome) {
+void RunnerProxy::OnEnd(uint64_t run, const HttpOutcome& outcome) {
   const std::unique_ptr<Running> running = std::move(running_.at(run));
   running_.erase(run);
   --in_progress_;
   report_changed_ = true;
   const TimePoint now = BootClock::now();
-  ++ended_;
-  latency_sum_ += now - running->began;
-  if (!running->key.empty()) run_of_key_.erase(running->key);
+  ++ended_since_report_;
+  latency_sum_since_report_ += now - running->started_at;
+  if (!running->key.empty()) run_by_key_.erase(running->key);
   switch (outcome.delivery) {
     case HttpDelivery::kAnswered:
       ++counts_.ran;
       if (!running->head_sent) {
-        SendToAll(*running,
-                  ResponseStart{
-                      0, static_cast<uint32_t>(outcome.response.status), {}});
+        SendToOrigins(
+            *running,
+            ResponseStart{
+                0, static_cast<uint32_t>(outcome.response.status), {}});
       }
       if (!running->key.empty()) {
         keys_.End(running->key, running->answer, now);
       }
-      SendToAll(*running, ResponseEnd{0, RequestOutcome::kRan, ""});
+      SendToOrigins(*running, ResponseEnd{0, RequestOutcome::kRan, ""});
       break;
     case HttpDelivery::kNotSent:
       ++counts_.refused;
-      if (!running->key.empty()) keys_.Abandon(running->key);
-      SendToAll(*running, ResponseEnd{0, RequestOutcome::kNotRun,
-                                      "the runner takes no connection"});
+      if (!running->key.empty()) keys_.MarkNotRun(running->key);
+      SendToOrigins(*running, ResponseEnd{0, RequestOutcome::kNotRun,
+                                          "the runner accepts no connection"});
       break;
     case HttpDelivery::kNoAnswer:
       ++counts_.unknown;
       if (!running->key.empty()) keys_.End(running->key, nullptr, now);
-      SendToAll(*running, ResponseEnd{0, RequestOutcome::kUnknown,
-                                      "the runner gave no whole answer"});
+      SendToOrigins(*running,
+                    ResponseEnd{0, RequestOutcome::kUnknown,
+                                "the runner sent no complete response"});
       break;
   }
-  AdmitWaiting();
+  AdmitQueued();
 }
 
-void RunnerGate::OnKeyClaim(const std::string& entry, const KeyClaim& claim) {
+void RunnerProxy::OnKeyClaim(const std::string& entry, const KeyClaim& claim) {
   const bool is_new = keys_.Claim(claim.key, BootClock::now());
   send_(entry, KeyClaimed{claim.id, is_new});
 }
 
-void RunnerGate::OnCancel(const std::string& entry,
-                          const RequestCancel& cancel) {
-  waiting_.remove_if([&](const Waiting& waiting) {
-    return waiting.origin.entry == entry && waiting.origin.id == cancel.id;
+void RunnerProxy::OnCancel(const std::string& entry,
+                           const RequestCancel& cancel) {
+  queue_.remove_if([&](const QueuedRequest& queued) {
+    return queued.origin.entry == entry && queued.origin.id == cancel.id;
   });
   for (auto& [run, running] : running_) {
     auto& origins = running->origins;
@@ -304,17 +318,17 @@
   }
 }
 
-void RunnerGate::OnEntryDown(const std::string& entry) {
-  for (auto& [key, parked] : parked_) {
-    auto& origins = parked.origins;
+void RunnerProxy::OnEntryDown(const std::string& entry) {
+  for (auto& [key, deferred] : deferred_) {
+    auto& origins = deferred.origins;
     origins.erase(std::remove_if(origins.begin(), origins.end(),
                                  [&entry](const Origin& origin) {
                                    return origin.entry == entry;
                                  }),
                   origins.end());
   }
-  waiting_.remove_if([&entry](const Waiting& waiting) {
-    return waiting.origin.entry == entry;
+  queue_.remove_if([&entry](const QueuedRequest& queued) {
+    return queued.origin.entry == entry;
   });
   for (auto& [run, running] : running_) {
     auto& origins = running->origins;
--- a/beamhill/agent/runner_proxy.h
+++ b/beamhill/agent/runner_proxy.h
@@ -1,8 +1,16 @@
-// The gate of one runner: its slots and connections, and its keys' memory.
+// Proxy of the VM's runner: limits concurrency and deduplicates requests by
+// idempotency key.
 //
-// Every request to the runner comes through here, from any entry, so the
-// limits hold without the entries' talking to each other. "Not run" is said
-// only of a request that was never handed to the runner's connection.
+// All entries send their requests to the runner through this one proxy, so the
+// limits on slots and connections hold without coordination between entries.
+// The outcome kNotRun is reported only for a request that was never handed to
+// a connection of the runner.
+//
+//   RunnerProxy proxy(loop, options,
+//                     [](const std::string& entry, const Message& message) {
+//                       SendToEntry(entry, message);
+//                     });
+//   proxy.OnRequest("entry-1", request_start);
 #ifndef BEAMHILL_AGENT_RUNNER_PROXY_H_
 #define BEAMHILL_AGENT_RUNNER_PROXY_H_
 
@@ -22,112 +30,126 @@
 
 namespace beamhill {
 
-struct RunnerGateOptions {
+struct RunnerProxyOptions {
   std::string service;
   Address runner;
-  uint32_t slots = 8;
-  uint32_t connections = 64;
-  Duration keep_keys = std::chrono::minutes(10);
+  uint32_t slots = 8;         // Requests that the runner executes at a time.
+  uint32_t connections = 64;  // Open connections to the runner.
+  Duration key_retention = std::chrono::minutes(10);
   size_t max_keys = 50'000;
-  size_t max_kept_answer = 16 * 1024;
-  // When every slot is taken, up to a quarter as many requests wait so long
-  // for one; what does not get one is refused as not-run.
-  Duration longest_wait = std::chrono::milliseconds(50);
-  // How long a repeat of a key that only the other keeper has seen waits for
-  // the first request, which may be on its way.
-  Duration repeat_wait = std::chrono::milliseconds(200);
+  size_t max_cached_response_bytes = 16 * 1024;
+  // While all slots are in use, a queue of up to a quarter as many requests
+  // waits for a free slot. A request that gets none in this time, or finds the
+  // queue full, is refused with kNotRun.
+  Duration max_slot_wait = std::chrono::milliseconds(50);
+  // Each key is recorded on two agents. A request whose key is known only to
+  // the other agent waits this long for the first request of that key, which
+  // may still be on its way here.
+  Duration max_repeat_wait = std::chrono::milliseconds(200);
 };
 
-struct RunnerGateCounts {
+// Totals since the start of the process.
+struct RunnerProxyCounts {
   uint64_t ran = 0;
-  uint64_t refused = 0;
-  uint64_t unknown = 0;
+  uint64_t refused = 0;  // Not handed to the runner.
+  uint64_t unknown = 0;  // Sent to the runner, without a complete response.
   uint64_t repeated_keys = 0;
-  uint64_t abandoned = 0;
+  uint64_t abandoned = 0;  // Cancelled by the entry while in progress.
 };
 
-class RunnerGate {
+class RunnerProxy {
  public:
+  // Sends a message to the named entry.
   using Send =
       std::function<void(const std::string& entry, const Message& message)>;
 
-  RunnerGate(EventLoop& loop, const RunnerGateOptions& options, Send send);
-  ~RunnerGate();
+  RunnerProxy(EventLoop& loop, const RunnerProxyOptions& options, Send send);
+  ~RunnerProxy();
 
   void OnRequest(const std::string& entry, const RequestStart& request);
-  // Another runner is about to run the key; remember it.
+  // Records a key whose request is about to be executed on another runner, and
+  // replies with whether the key was new here.
   void OnKeyClaim(const std::string& entry, const KeyClaim& claim);
-  void OnKeyRelease(const KeyRelease& release) { keys_.Abandon(release.key); }
-  // The entry gave the request up. It goes on at the runner, whose slot stays
-  // taken until it ends; its answer is dropped.
+  void OnKeyRelease(const KeyRelease& release) {
+    keys_.MarkNotRun(release.key);
+  }
+  // Drops a request that its entry has abandoned. A request that the runner is
+  // already executing continues and keeps its slot until it ends; its response
+  // is not sent to the entry.
   void OnCancel(const std::string& entry, const RequestCancel& cancel);
+  // Drops all requests of an entry whose link is down, like OnCancel().
   void OnEntryDown(const std::string& entry);
 
-  // Refuses all new requests from now on.
-  void Leave();
+  // Refuses new and queued requests; those in progress continue.
+  void Drain();
   bool idle() const { return in_progress_ == 0; }
-  // Whether the last report said full and there is room now.
-  bool has_new_room() const {
-    return reported_full_ && in_progress_ < options_.slots;
+  // Returns whether a slot is free although the last report said that all slots
+  // are in use.
+  bool slot_freed_since_full_report() const {
+    return last_report_full_ && in_progress_ < options_.slots;
   }
 
+  // Returns the load of the runner since the last StartReportInterval().
   RunnerReport Report() const;
-  // Starts the next report's count of ended requests.
-  void ResetEnded();
-  // True once after the report has changed.
+  // Resets the figures of Report() that cover one report interval.
+  void StartReportInterval();
+  // Returns whether the report has changed since the last call.
   bool TakeReportChanged() { return std::exchange(report_changed_, false); }
-  const RunnerGateCounts& counts() const { return counts_; }
+  const RunnerProxyCounts& counts() const { return counts_; }
   size_t connections() const { return client_.open_connections(); }
 
  private:
+  // Where a request came from: the entry and its request ID there.
   struct Origin {
     std::string entry;
     uint64_t id = 0;
   };
   struct Running;
 
-  struct Waiting {
+  struct QueuedRequest {
     Origin origin;
     RequestStart request;
     Timer timer;
   };
 
   void Refuse(const Origin& origin, const std::string& reason);
-  // Repeats of a key whose first request has not come here.
-  struct Parked {
+  // Requests that wait for the first request of their key to arrive here.
+  struct DeferredRepeats {
     std::vector<Origin> origins;
     Timer timer;
   };
-  void Park(const Origin& origin, const std::string& key);
-  void GiveUpParked(const std::string& key);
-  void Wait(const Origin& origin, const RequestStart& request);
-  // Admits one request that has a slot.
+  void DeferRepeat(const Origin& origin, const std::string& key);
+  // Fails the repeats of `key` whose first request did not arrive in time.
+  void FailDeferred(const std::string& key);
+  void EnqueueRequest(const Origin& origin, const RequestStart& request);
+  // Handles a request for which a slot is free: replays the response of a known
+  // key, or forwards the request to the runner.
   void Admit(const Origin& origin, const RequestStart& request);
-  void AdmitWaiting();
-  void Replay(const Origin& origin, const KeptAnswer& answer);
+  void AdmitQueued();
+  void SendCachedResponse(const Origin& origin, const CachedResponse& answer);
   void Forward(const Origin& origin, const RequestStart& request);
   void OnHead(uint64_t run, int status, const HttpHeaders& headers);
   void OnBytes(uint64_t run, std::string_view bytes);
   void OnEnd(uint64_t run, const HttpOutcome& outcome);
-  void SendToAll(const Running& running, const Message& message);
+  void SendToOrigins(const Running& running, const Message& message);
 
   EventLoop& loop_;
-  RunnerGateOptions options_;
+  RunnerProxyOptions options_;
   Send send_;
   HttpClient client_;
-  KeyMemory keys_;
-  std::map<uint64_t, std::unique_ptr<Running>> running_;
-  std::map<std::string, uint64_t> run_of_key_;
-  std::list<Waiting> waiting_;
-  std::map<std::string, Parked> parked_;
+  IdempotencyKeyStore keys_;
+  std::map<uint64_t, std::unique_ptr<Running>> running_;  // By run number.
+  std::map<std::string, uint64_t> run_by_key_;            // Runs in progress.
+  std::list<QueuedRequest> queue_;
+  std::map<std::string, DeferredRepeats> deferred_;  // By key.
   uint64_t next_run_ = 1;
   uint32_t in_progress_ = 0;
-  bool leaving_ = false;
+  bool draining_ = false;
   bool report_changed_ = true;
-  bool reported_full_ = false;
-  uint32_t ended_ = 0;
-  Duration latency_sum_{};
-  RunnerGateCounts counts_;
+  bool last_report_full_ = false;
+  uint32_t ended_since_report_ = 0;
+  Duration latency_sum_since_report_{};
+  RunnerProxyCounts counts_;
 };
 
 }  // namespace beamhill
