--- a/beamhill/agent/idempotency_key_store.cc
+++ b/beamhill/agent/idempotency_key_store.cc
@@ -13,8 +13,8 @@
     return {KeyState::kNew, nullptr};
   }
   if (it->second.in_progress) return {KeyState::kInProgress, nullptr};
-  if (it->second.answer == nullptr) return {KeyState::kUnknown, nullptr};
-  return {KeyState::kAnswered, it->second.answer};
+  if (it->second.response == nullptr) return {KeyState::kUnknown, nullptr};
+  return {KeyState::kAnswered, it->second.response};
 }
 
 bool IdempotencyKeyStore::Claim(const std::string& key, TimePoint now) {
@@ -28,13 +28,13 @@
 }
 
 void IdempotencyKeyStore::End(const std::string& key,
-                              std::shared_ptr<const CachedResponse> answer,
+                              std::shared_ptr<const CachedResponse> response,
                               TimePoint now) {
   const auto it = keys_.find(key);
   if (it == keys_.end()) return;
   it->second.in_progress = false;
   it->second.ended_at = now;
-  it->second.answer = std::move(answer);
+  it->second.response = std::move(response);
   ended_.emplace_back(now, key);
 }
 
--- a/beamhill/agent/idempotency_key_store.h
+++ b/beamhill/agent/idempotency_key_store.h
@@ -27,7 +27,7 @@
 enum class KeyState : uint8_t {
   kNew,         // Not seen before; now recorded as in progress.
   kInProgress,  // The request is being executed.
-  kAnswered,    // Executed; `answer` holds the response.
+  kAnswered,    // Executed; `response` holds the response.
   kUnknown,     // Sent to the runner or claimed; no complete response is kept.
   kFull,        // Not recorded: the store is at its maximum size.
 };
@@ -39,10 +39,10 @@
   std::string body;
 };
 
-// Result of a lookup. `answer` is set only in state kAnswered.
+// Result of a lookup. `response` is set only in state kAnswered.
 struct KeyLookup {
   KeyState state = KeyState::kNew;
-  std::shared_ptr<const CachedResponse> answer;
+  std::shared_ptr<const CachedResponse> response;
 };
 
 // Maps idempotency keys to the state of their request. Not thread-safe.
@@ -61,11 +61,11 @@
   bool Claim(const std::string& key, TimePoint now);
   // Removes a key whose request provably did not run, so that it counts as new.
   void MarkNotRun(const std::string& key);
-  // Records that the request of `key` ended. A null `answer` means that its
+  // Records that the request of `key` ended. A null `response` means that its
   // outcome is unknown or its response was not cached. No effect on a key that
   // the store does not contain.
-  void End(const std::string& key, std::shared_ptr<const CachedResponse> answer,
-           TimePoint now);
+  void End(const std::string& key,
+           std::shared_ptr<const CachedResponse> response, TimePoint now);
 
   size_t size() const { return keys_.size(); }
 
@@ -73,7 +73,7 @@
   struct Entry {
     bool in_progress = true;
     TimePoint ended_at{};
-    std::shared_ptr<const CachedResponse> answer;
+    std::shared_ptr<const CachedResponse> response;
   };
 
   void RemoveExpired(TimePoint now);
--- a/beamhill/agent/runner_proxy.cc
+++ b/beamhill/agent/runner_proxy.cc
@@ -19,7 +19,7 @@
   bool head_sent = false;
   // The request has a key, and its response so far is within the size limit.
   bool cacheable = false;
-  std::shared_ptr<CachedResponse> answer;
+  std::shared_ptr<CachedResponse> response;
 };
 
 RunnerProxy::RunnerProxy(EventLoop& loop, const RunnerProxyOptions& options,
@@ -36,17 +36,16 @@
   RunnerReport report;
   report.in_progress = in_progress_ + static_cast<uint32_t>(queue_.size());
   report.limit = options_.slots;
-  report.ended = ended_since_report_;
-  if (ended_since_report_ > 0)
-    report.latency = latency_sum_since_report_ / ended_since_report_;
+  report.ended = interval_ended_;
+  if (interval_ended_ > 0) report.latency = interval_latency_ / interval_ended_;
   report.draining = draining_;
   return report;
 }
 
 void RunnerProxy::StartReportInterval() {
   last_report_full_ = in_progress_ >= options_.slots;
-  ended_since_report_ = 0;
-  latency_sum_since_report_ = Duration(0);
+  interval_ended_ = 0;
+  interval_latency_ = Duration(0);
 }
 
 void RunnerProxy::Drain() {
@@ -62,12 +61,11 @@
   send_(origin.entry, ResponseEnd{origin.id, RequestOutcome::kNotRun, reason});
 }
 
-void RunnerProxy::SendCachedResponse(const Origin& origin,
-                                     const CachedResponse& answer) {
-  HeaderList headers = answer.headers;
+void RunnerProxy::Replay(const Origin& origin, const CachedResponse& response) {
+  HeaderList headers = response.headers;
   headers.emplace_back("Beamhill-Repeated", "true");
-  send_(origin.entry, ResponseStart{origin.id, answer.status, headers});
-  send_(origin.entry, ResponseBytes{origin.id, answer.body});
+  send_(origin.entry, ResponseStart{origin.id, response.status, headers});
+  send_(origin.entry, ResponseBytes{origin.id, response.body});
   send_(origin.entry, ResponseEnd{origin.id, RequestOutcome::kRan, ""});
 }
 
@@ -162,8 +160,7 @@
     }
     if (lookup.state != KeyState::kNew) {
       ++counts_.repeated_keys;
-      if (lookup.answer != nullptr)
-        return SendCachedResponse(origin, *lookup.answer);
+      if (lookup.response != nullptr) return Replay(origin, *lookup.response);
       send_(origin.entry,
             ResponseEnd{origin.id, RequestOutcome::kUnknown,
                         "the key was used before; its response is not "
@@ -182,7 +179,7 @@
   running->started_at = BootClock::now();
   running->cacheable = !running->key.empty();
   if (running->cacheable) {
-    running->answer = std::make_shared<CachedResponse>();
+    running->response = std::make_shared<CachedResponse>();
     run_by_key_[running->key] = run;
     const auto deferred = deferred_.find(running->key);
     if (deferred != deferred_.end()) {
@@ -236,8 +233,8 @@
   }
   running.head_sent = true;
   if (running.cacheable) {
-    running.answer->status = static_cast<uint32_t>(status);
-    running.answer->headers = kept_headers;
+    running.response->status = static_cast<uint32_t>(status);
+    running.response->headers = kept_headers;
   }
   SendToOrigins(running,
                 ResponseStart{0, static_cast<uint32_t>(status), kept_headers});
@@ -246,10 +243,10 @@
 void RunnerProxy::OnBytes(uint64_t run, std::string_view bytes) {
   Running& running = *running_.at(run);
   if (running.cacheable) {
-    running.answer->body.append(bytes);
-    if (running.answer->body.size() > options_.max_cached_response_bytes) {
+    running.response->body.append(bytes);
+    if (running.response->body.size() > options_.max_cached_response_bytes) {
       running.cacheable = false;
-      running.answer.reset();
+      running.response.reset();
     }
   }
   SendToOrigins(running, ResponseBytes{0, std::string(bytes)});
@@ -261,8 +258,8 @@
   --in_progress_;
   report_changed_ = true;
   const TimePoint now = BootClock::now();
-  ++ended_since_report_;
-  latency_sum_since_report_ += now - running->started_at;
+  ++interval_ended_;
+  interval_latency_ += now - running->started_at;
   if (!running->key.empty()) run_by_key_.erase(running->key);
   switch (outcome.delivery) {
     case HttpDelivery::kAnswered:
@@ -274,7 +271,7 @@
                 0, static_cast<uint32_t>(outcome.response.status), {}});
       }
       if (!running->key.empty()) {
-        keys_.End(running->key, running->answer, now);
+        keys_.End(running->key, running->response, now);
       }
       SendToOrigins(*running, ResponseEnd{0, RequestOutcome::kRan, ""});
       break;
--- a/beamhill/agent/runner_proxy.h
+++ b/beamhill/agent/runner_proxy.h
@@ -126,7 +126,8 @@
   // key, or forwards the request to the runner.
   void Admit(const Origin& origin, const RequestStart& request);
   void AdmitQueued();
-  void SendCachedResponse(const Origin& origin, const CachedResponse& answer);
+  // Sends a cached response.
+  void Replay(const Origin& origin, const CachedResponse& response);
   void Forward(const Origin& origin, const RequestStart& request);
   void OnHead(uint64_t run, int status, const HttpHeaders& headers);
   void OnBytes(uint64_t run, std::string_view bytes);
@@ -147,8 +148,8 @@
   bool draining_ = false;
   bool report_changed_ = true;
   bool last_report_full_ = false;
-  uint32_t ended_since_report_ = 0;
-  Duration latency_sum_since_report_{};
+  uint32_t interval_ended_ = 0;
+  Duration interval_latency_{};
   RunnerProxyCounts counts_;
 };
 
--- a/beamhill/jobs/job_store.cc
+++ b/beamhill/jobs/job_store.cc
@@ -11,13 +11,15 @@
 namespace {
 
 constexpr int kMaxTries = 5;
-// Tasks that a cell may start before its first snapshot names the job.
+// Number of tasks of a part that its cell may start before its first progress
+// snapshot contains the job.
 constexpr uint32_t kInitialWindow = 64;
 
+// Returns whether two rows hold the same submission. Placement and cancellation
+// may differ between them.
 bool SameSubmission(const JobRow& a, const JobRow& b) {
   JobRow left = a;
   JobRow right = b;
-  // Where it was placed may differ between two submissions of one job.
   left.parts.clear();
   right.parts.clear();
   left.cancelled = right.cancelled = false;
@@ -25,16 +27,17 @@
 }
 
 Error NotFound(const std::string& job) {
-  return {ErrorCode::kNotFound, "no job " + job,
+  return {ErrorCode::kNotFound, "there is no job " + job,
           "list the jobs with GET /v1/jobs"};
 }
 
 Error Undecided() {
-  return {ErrorCode::kUnknownOutcome, "the platform's table did not answer",
-          "repeat the call under the same key; it takes effect once"};
+  return {ErrorCode::kUnknownOutcome,
+          "the platform's table did not confirm the write",
+          "repeat the call with the same key; it takes effect at most once"};
 }
 
-// The windows' and done counts of one part, from its cell's last snapshot.
+// Adds the task counts of one part, from the last snapshot of its cell.
 void AddProgress(const Row& row, const std::string& job, JobStatus* status) {
   CellSnapshot snapshot;
   if (row.version == 0 || !IsOk(DecodeRow(row.value, &snapshot))) return;
@@ -54,7 +57,7 @@
 
 Result<std::vector<JobPart>> SplitOverCells(
     const JobSpec& job, const std::vector<CellCapacity>& cells,
-    uint32_t least_part) {
+    uint32_t min_tasks_per_part) {
   std::vector<CellCapacity> usable;
   for (const CellCapacity& cell : cells) {
     if (cell.largest_vm.Holds(job.each)) usable.push_back(cell);
@@ -62,30 +65,32 @@
   if (usable.empty()) {
     return Error{ErrorCode::kInvalidArgument,
                  "no VM can hold one task of this job",
-                 "ask for less processor, memory or accelerators a task"};
+                 "request less CPU, memory or accelerators per task"};
   }
   std::sort(usable.begin(), usable.end(),
             [](const CellCapacity& a, const CellCapacity& b) {
               return a.total.cpu_millis > b.total.cpu_millis;
             });
-  const uint32_t most_parts = std::max(1U, job.tasks / least_part);
-  // Small jobs are spread by their id, so that not all go to one cell.
-  if (most_parts < usable.size()) {
+  const uint32_t max_parts = std::max(1U, job.tasks / min_tasks_per_part);
+  // The job's ID selects the cells of a small job, so that small jobs are
+  // spread over all cells.
+  if (max_parts < usable.size()) {
     const size_t first = std::hash<std::string>()(job.id) % usable.size();
     std::rotate(usable.begin(),
                 usable.begin() + static_cast<std::ptrdiff_t>(first),
                 usable.end());
-    usable.resize(most_parts);
+    usable.resize(max_parts);
   }
   int64_t total = 0;
   for (const CellCapacity& cell : usable) total += cell.total.cpu_millis;
   std::vector<JobPart> parts;
   uint32_t begin = 0;
-  int64_t before = 0;
+  int64_t cpu_so_far = 0;
   for (const CellCapacity& cell : usable) {
-    before += cell.total.cpu_millis;
-    const auto end = static_cast<uint32_t>(
-        static_cast<int64_t>(job.tasks) * before / std::max<int64_t>(1, total));
+    cpu_so_far += cell.total.cpu_millis;
+    const auto end =
+        static_cast<uint32_t>(static_cast<int64_t>(job.tasks) * cpu_so_far /
+                              std::max<int64_t>(1, total));
     if (end > begin) parts.push_back({cell.cell, {begin, end}});
     begin = end;
   }
@@ -127,7 +132,7 @@
                           "the platform's table refused the write",
                           "try again; the job was not accepted"});
       case CommitResult::kUnknown:
-        // The same write again takes effect at most once.
+        // Repeating the write is safe: it takes effect at most once.
         if (tries >= kMaxTries) return done(Undecided());
         return TrySubmit(row, tries + 1, done);
       case CommitResult::kConflict:
@@ -169,7 +174,8 @@
               }));
 }
 
-// Final counts where a part has them, else the cell's last snapshot.
+// Uses the final counts of each finished part, and the last snapshot of its
+// cell for the others.
 void JobStore::ReadProgress(JobStatus status, const JobRow& row,
                             std::function<void(Result<JobStatus>)> done) {
   std::vector<std::string> keys;
@@ -218,14 +224,14 @@
 void JobStore::TryCancel(const std::string& job, int tries,
                          std::function<void(Status)> done) {
   if (tries > kMaxTries) return done(Undecided());
-  // Only a first try is known not to have been written.
-  const auto unread = [tries](const Error& error) {
+  // After the first try, an earlier write may have taken effect.
+  const auto read_error = [tries](const Error& error) {
     return tries > 1 ? Undecided() : error;
   };
-  table_.read({JobKey(job)}, lifetime_.Guard([this, job, tries, unread,
+  table_.read({JobKey(job)}, lifetime_.Guard([this, job, tries, read_error,
                                               done](Result<std::vector<Row>>
                                                         rows) {
-    if (!IsOk(rows)) return done(unread(ErrorOf(rows)));
+    if (!IsOk(rows)) return done(read_error(ErrorOf(rows)));
     const Row job_row = ValueOf(rows).front();
     JobRow row;
     if (job_row.version == 0 || !IsOk(DecodeRow(job_row.value, &row))) {
@@ -236,10 +242,10 @@
     for (const JobPart& part : row.parts) {
       keys.push_back(RangeKey(part.cell, job));
     }
-    table_.read(keys, lifetime_.Guard([this, job, tries, unread, done, row,
+    table_.read(keys, lifetime_.Guard([this, job, tries, read_error, done, row,
                                        job_row](Result<std::vector<Row>>
                                                     ranges) mutable {
-      if (!IsOk(ranges)) return done(unread(ErrorOf(ranges)));
+      if (!IsOk(ranges)) return done(read_error(ErrorOf(ranges)));
       row.cancelled = true;
       Transaction cancel;
       cancel.writes.push_back({JobKey(job), job_row.version, EncodeRow(row)});
@@ -257,7 +263,7 @@
             if (answer.result == CommitResult::kCommitted) {
               return done(Ok{});
             }
-            // Lost answer, or a part finished meanwhile.
+            // The reply was lost, or a part finished in the meantime.
             TryCancel(job, tries + 1, done);
           }));
     }));
--- a/beamhill/jobs/job_store.h
+++ b/beamhill/jobs/job_store.h
@@ -1,5 +1,6 @@
-// Jobs in the platform's table: accepted once under the caller's key, split
-// over cells, read, listed and cancelled. Any entry can serve any call.
+// Stores jobs in the platform's table: submits a job once per idempotency key,
+// splits it over cells, and reads, lists and cancels jobs. Any entry can serve
+// any call.
 //
 //   JobStore jobs(table);
 //   jobs.Submit(spec, parts, [](Result<JobAccepted> accepted) { ... });
@@ -19,54 +20,65 @@
 
 namespace beamhill {
 
+// Result of a successful submission.
 struct JobAccepted {
   std::string job;
   bool repeated = false;  // The same submission was accepted before.
 };
 
+// A job and its progress. `done`, `failed` and `evictions` count over all
+// parts; parts that are not finished contribute no evictions.
 struct JobStatus {
   JobSpec job;
   bool cancelled = false;
   uint64_t done = 0;
   uint64_t failed = 0;
   uint64_t evictions = 0;
-  // Parts whose final counts are in; the job is finished when all are.
   uint32_t parts = 0;
+  // Parts with final counts. The job is finished when this equals `parts`.
   uint32_t parts_finished = 0;
 };
 
-// What a cell can offer, for splitting a job over cells.
+// Capacity of a cell, for splitting a job over cells.
 struct CellCapacity {
   std::string cell;
   Resources total;
   Resources largest_vm;
 };
 
-// The job's id follows from the team and its key, so that a repeat through
-// any entry, or after any loss, meets the same row.
+// Derives the job's ID from the team and its idempotency key, so that a
+// repeated submission finds the same row through any entry and after any
+// failure.
 std::string JobIdFor(const std::string& team, const std::string& key);
 
-// Parts in proportion to the cells' processors, over as few cells as keep a
-// part at least `least_part` tasks. An error when no VM holds one task.
+// Splits a job into parts in proportion to the processors of the cells. Uses at
+// most as many cells as allow `min_tasks_per_part` tasks on average in each
+// part, and at least one. Returns kInvalidArgument if no VM can hold one task.
 Result<std::vector<JobPart>> SplitOverCells(
     const JobSpec& job, const std::vector<CellCapacity>& cells,
-    uint32_t least_part);
+    uint32_t min_tasks_per_part);
 
+// All callbacks run on the event loop, none once the store is destroyed.
 class JobStore {
  public:
   explicit JobStore(Table table);
   ~JobStore();
 
-  // kConflict: the key was used for another submission. kUnknownOutcome: the
-  // table did not say; a repeat under the same key is safe.
+  // Submits a job. Errors: kConflict if its ID stands for another submission;
+  // kUnavailable if the table refused the write; kUnknownOutcome if the table
+  // did not tell whether it took effect, where repeating the call is safe.
   void Submit(const JobSpec& job, const std::vector<JobPart>& parts,
               std::function<void(Result<JobAccepted>)> done);
+  // Returns a job with its progress, or kNotFound.
   void Get(const std::string& job, std::function<void(Result<JobStatus>)> done);
   void List(std::function<void(Result<std::vector<JobRow>>)> done);
-  // Idempotent. Done when it is durable; cells act within their poll.
+  // Cancels a job. Idempotent. Calls `done` once the cancellation is durable;
+  // cells act on it with their next poll of the table. Errors: kNotFound;
+  // kUnknownOutcome if the cancellation may have taken effect.
   void Cancel(const std::string& job, std::function<void(Status)> done);
 
  private:
+  // `tries` counts the attempts so far, including this one.
   void TrySubmit(const JobRow& row, int tries,
                  std::function<void(Result<JobAccepted>)> done);
   void TryCancel(const std::string& job, int tries,
--- a/beamhill/jobs/job_store_test.cc
+++ b/beamhill/jobs/job_store_test.cc
@@ -10,7 +10,7 @@
 namespace beamhill {
 namespace {
 
-// A store with one accepted job in one cell.
+// A store that holds one accepted job with one part.
 class JobStoreTest : public testing::Test {
  protected:
   JobStoreTest() {
@@ -46,16 +46,18 @@
   std::optional<JobStore> store_;
 };
 
-// A cancellation whose answer was lost must be looked for, not given up.
-TEST_F(JobStoreTest, CancellationWhoseAnswerWasLostIsFound) {
+// A cancellation whose reply was lost must be read back, not reported as
+// failed.
+TEST_F(JobStoreTest, CancellationWithLostReplyIsReadBack) {
   table_.LoseNextCommitAnswer();
   EXPECT_TRUE(IsOk(Cancel()));
   EXPECT_TRUE(RangeIsCancelled());
 }
 
-// The same, and the table was down from then on: the caller was told that it
-// had not taken effect.
-TEST_F(JobStoreTest, CancellationThatMayHaveTakenEffectIsNotCalledRefused) {
+// Guards against telling the caller that a cancellation had no effect: its
+// reply was lost and the table was down afterwards, so it may have taken
+// effect.
+TEST_F(JobStoreTest, CancellationWithLostReplyAndTableDownHasUnknownOutcome) {
   table_.LoseNextCommitAnswer();
   down_after_commit_ = true;
   const Status status = Cancel();
@@ -64,8 +66,8 @@
   EXPECT_TRUE(RangeIsCancelled());
 }
 
-// One that the table refused from the start has not taken effect.
-TEST_F(JobStoreTest, CancellationThatWasNeverSentIsCalledRefused) {
+// A cancellation that the table refused at the first try has no effect.
+TEST_F(JobStoreTest, CancellationThatWasNeverSentIsUnavailable) {
   table_.set_fault(TableFault::kDown);
   const Status status = Cancel();
   ASSERT_FALSE(IsOk(status));
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -9,8 +9,9 @@
 namespace beamhill {
 namespace {
 
-// The fields of each structure, in wire order. One list serves both ways.
-// Some structures share field names. NOLINTBEGIN(bugprone-branch-clone)
+// Lists the fields of each structure in wire order, for encoding and decoding.
+// Branches are equal where structures share field names.
+// NOLINTBEGIN(bugprone-branch-clone)
 struct MessageFields {
   template <typename T>
   static auto Of(T& v) {
--- a/beamhill/messages/codec.h
+++ b/beamhill/messages/codec.h
@@ -1,8 +1,8 @@
-// Messages to and from CBOR.
+// Encodes messages to CBOR and decodes them.
 //
-// A message is one CBOR array: its number in the Message variant, then its
-// fields in order of declaration. Positions in place of names keep a
-// heartbeat under 60 bytes.
+// A message is a CBOR array of its index in the Message variant and the array
+// of its fields. Fields are identified by position instead of by name, which
+// keeps a heartbeat under 60 bytes.
 //
 //   link.Send(Encode(Heartbeat{fence, BootClock::now()}));
 //   Result<Message> message = Decode(frame);
@@ -19,8 +19,8 @@
 
 std::string Encode(const Message& message);
 
-// Refuses bytes that are not exactly one message: unknown number, missing or
-// surplus fields, wrong types.
+// Returns kInvalidArgument unless `bytes` are exactly one message with a known
+// index, the right number of fields and the right types.
 Result<Message> Decode(std::string_view bytes);
 
 }  // namespace beamhill
--- a/beamhill/messages/codec_test.cc
+++ b/beamhill/messages/codec_test.cc
@@ -51,7 +51,7 @@
       KeyRelease{"k"}};
 }
 
-TEST(Codec, CarriesEachMessageWhole) {
+TEST(Codec, RoundTripsEachMessage) {
   const std::vector<Message> messages = OneOfEach();
   ASSERT_EQ(messages.size(), std::variant_size_v<Message>);
   for (size_t i = 0; i < messages.size(); ++i) {
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(Codec, RefusesEachMessageCutShort) {
+TEST(Codec, RejectsTruncatedAndOverlongMessages) {
   for (const Message& message : OneOfEach()) {
     const std::string bytes = Encode(message);
     for (size_t size = 0; size < bytes.size(); ++size) {
@@ -74,20 +74,20 @@
   }
 }
 
-RC_GTEST_PROP(Codec, NeverFailsOnArbitraryBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(Codec, SurvivesArbitraryBytes, (const std::string& bytes)) {
   const Result<Message> decoded = Decode(bytes);
   if (IsOk(decoded)) {
     RC_ASSERT(IsOk(Decode(Encode(ValueOf(decoded)))));
   }
 }
 
-TEST(Codec, RefusesAnImpossibleContainerSize) {
+TEST(Codec, RejectsImpossibleContainerSize) {
   EXPECT_FALSE(
       IsOk(Decode("\xBB"
                   "aaaaaaaa")));
 }
 
-TEST(Codec, KeepsTheFrequentMessagesSmall) {
+TEST(Codec, FrequentMessagesAreSmall) {
   const TimePoint now = BootClock::now();
   EXPECT_LE(Encode(Heartbeat{kFence, now}).size(), 60U);
   EXPECT_LE(Encode(Grant{kFence, now, std::chrono::minutes(2)}).size(), 60U);
--- a/beamhill/messages/internal/cbor_fields.h
+++ b/beamhill/messages/internal/cbor_fields.h
@@ -1,5 +1,5 @@
-// CBOR form of plain structures: each is an array of its fields in a fixed
-// order, which a `FieldList` names once for both directions.
+// Converts plain structures to and from CBOR. A structure is an array of its
+// fields in a fixed order, which a `FieldList` defines for both directions.
 //
 //   struct MyFields {
 //     template <typename T> static auto Of(T& v) { return std::tie(v.a); }
@@ -34,23 +34,25 @@
 template <typename Rep, typename Period>
 struct IsDuration<std::chrono::duration<Rep, Period>> : std::true_type {};
 
-// A stored structure may outlive the version of the program that wrote it: one
-// that has gained fields since names how many it had at first, as
-// `kFieldsAtFirst`, and the others may be missing. Else none may.
+// Minimum number of fields of an encoded structure. A stored structure may have
+// been written by an earlier version of the program. If fields were added to it
+// since, its member `kFieldsAtFirst` is the number of its original fields, and
+// those after them may be missing. Without that member, all fields are
+// required.
 template <typename T, typename = void>
-struct FieldsAtFirst {
+struct MinFieldCount {
   static constexpr size_t Of(size_t all) { return all; }
 };
 template <typename T>
-struct FieldsAtFirst<T, std::void_t<decltype(T::kFieldsAtFirst)>> {
+struct MinFieldCount<T, std::void_t<decltype(T::kFieldsAtFirst)>> {
   static constexpr size_t Of(size_t /*all*/) { return T::kFieldsAtFirst; }
 };
 
 template <typename T>
 constexpr bool kIsPair = std::is_same_v<T, std::pair<std::string, std::string>>;
 
-// The library throws on an impossible container size even when told not to
-// throw; a discarded value stands for every kind of bad bytes here.
+// Returns a discarded value for malformed bytes. The library throws on an
+// impossible container size even if exceptions are disabled.
 inline Json ParseCbor(std::string_view bytes) {
   try {
     return Json::from_cbor(bytes.begin(), bytes.end(), true, false);
@@ -59,9 +61,11 @@
   }
 }
 
+// Conversion functions for the structures that `FieldList` covers. From()
+// returns false if the value has another type or number of fields.
 template <typename FieldList>
 struct CborFields {
-  // Text is sent as CBOR bytes, since callers' bodies need not be UTF-8.
+  // Strings are CBOR byte strings, since callers' bodies need not be UTF-8.
   static Json To(const std::string& v) {
     return Json::binary(std::vector<uint8_t>(v.begin(), v.end()));
   }
@@ -98,8 +102,8 @@
     return true;
   }
 
-  // Sized containers are read element by element, so a count that the bytes
-  // do not back can't make the reader reserve memory.
+  // Reads containers element by element, so that a forged size can't make the
+  // reader reserve memory.
   template <typename T>
   static bool From(const Json& json, T* v) {
     if constexpr (std::is_same_v<T, bool>) {
@@ -140,8 +144,8 @@
     } else {
       auto fields = FieldList::Of(*v);
       constexpr size_t kCount = std::tuple_size_v<decltype(fields)>;
-      constexpr size_t kLeast = FieldsAtFirst<T>::Of(kCount);
-      if (!json.is_array() || json.size() < kLeast || json.size() > kCount) {
+      constexpr size_t kMinCount = MinFieldCount<T>::Of(kCount);
+      if (!json.is_array() || json.size() < kMinCount || json.size() > kCount) {
         return false;
       }
       size_t i = 0;
--- a/beamhill/table/response_time_estimator.h
+++ b/beamhill/table/response_time_estimator.h
@@ -1,19 +1,18 @@
-// How long the table takes to answer, and so when an answer is to be taken for
-// lost.
+// Estimates the response time of the table, to detect lost replies to writes.
 //
-// Load that it answers: a table that has done a write and whose answer never
-// comes is to be told from one that is merely slow. A fixed wait is too long
-// for the first, where everything stands still behind one lost answer, and too
-// short for the second, where each repeated write takes a turn from another. So
-// what is overdue is looked for by a read, which takes no turn; only where that
-// is answered quickly the write is repeated.
+// A table whose reply to a write was lost must be told apart from a slow one. A
+// fixed timeout is too long for a lost reply, which blocks all later writes,
+// and too short for a slow table, where each repeated write takes the turn of
+// another. Therefore an overdue write is first checked by a read, which does
+// not queue behind writes; the write is repeated only if the read returned
+// quickly.
 //
 //   ResponseTimeEstimator times;
-//   if (now - sent_at >= times.ReplyTimeout()) Look();
-//   // When the look is answered:
+//   if (now - sent_at >= times.ReplyTimeout()) SendRead();
+//   // When the read returns after `took`:
 //   const bool lost = times.ImpliesLostReply(took);
 //   times.Add(took);
-//   if (lost) SendAgain();
+//   if (lost) RepeatWrite();
 #ifndef BEAMHILL_TABLE_RESPONSE_TIME_ESTIMATOR_H_
 #define BEAMHILL_TABLE_RESPONSE_TIME_ESTIMATOR_H_
 
@@ -23,30 +22,35 @@
 
 namespace beamhill {
 
+// Tracks the longest recent response time. Not thread-safe.
 class ResponseTimeEstimator {
  public:
-  // Takes in how long an answer took.
+  // Adds the response time of one call.
   void Add(Duration took) {
-    // The longest of late, which fades over some ten answers.
-    usual_ = std::max(took, usual_ * (kMemory - 1) / kMemory);
+    // Decaying maximum: a long response time fades over about ten calls.
+    recent_max_ = std::max(took, recent_max_ * (kDecaySteps - 1) / kDecaySteps);
   }
 
-  // Whether an answer that took so long shows that one that is overdue is lost.
-  bool ImpliesLostReply(Duration took) const { return took * kUsualTimes <= ReplyTimeout(); }
+  // Returns whether a read that took this long is so quick that the reply to an
+  // overdue write must be lost.
+  bool ImpliesLostReply(Duration took) const {
+    return took * kTimeoutFactor <= ReplyTimeout();
+  }
 
-  // How long to wait for an answer before it is overdue.
+  // Returns the time after which a reply is overdue.
   Duration ReplyTimeout() const {
-    return std::clamp(usual_ * kUsualTimes, kLeastPatience, kMostPatience);
+    return std::clamp(recent_max_ * kTimeoutFactor, kMinReplyTimeout,
+                      kMaxReplyTimeout);
   }
 
  private:
-  static constexpr int kMemory = 8;
-  static constexpr int kUsualTimes = 3;
-  // A paused or busy process hears an answer this late.
-  static constexpr Duration kLeastPatience = std::chrono::milliseconds(150);
-  static constexpr Duration kMostPatience = std::chrono::milliseconds(1500);
+  static constexpr int kDecaySteps = 8;
+  static constexpr int kTimeoutFactor = 3;
+  // A process that was paused or busy receives a reply up to this late.
+  static constexpr Duration kMinReplyTimeout = std::chrono::milliseconds(150);
+  static constexpr Duration kMaxReplyTimeout = std::chrono::milliseconds(1500);
 
-  Duration usual_{};
+  Duration recent_max_{};
 };
 
 }  // namespace beamhill
--- a/beamhill/table/row_names.h
+++ b/beamhill/table/row_names.h
@@ -1,9 +1,9 @@
-// The tables of the schedulers and executors, and which of them share a
-// partition.
+// Row keys of the schedulers and executors in the platform's table, and the
+// partition of each row.
 //
-// The platform's table takes the transactions of one partition one after
-// another and refuses more once too many wait. So what all processes write at
-// the same moment must not stand before that by which work goes on.
+// The table executes the transactions of one partition sequentially and refuses
+// further ones when too many are queued. Rows that many processes write at the
+// same time are therefore kept out of the partition that scheduling depends on.
 //
 //   table.commit({{}, {{std::string(rows::kExecutors) + vm, 0, value}}}, done);
 #ifndef BEAMHILL_TABLE_ROW_NAMES_H_
@@ -17,12 +17,11 @@
 
 // Rows of one partition can be written in one transaction.
 enum class RowPartition : uint8_t {
-  // Who owns the work, the work itself and what became of it. An owner's
-  // transactions hold its own row beside those of workflows, so that a later
-  // owner's claim makes them fail.
+  // The owner row, workflows and their progress. The owner's transactions also
+  // check its own row, so that they fail once another owner has claimed it.
   kWork,
-  // Where VMs are reached: one row a VM, written by its executor alone. After
-  // a loss of power all executors look after theirs at once.
+  // Addresses of VMs: one row per VM, written only by its executor. After a
+  // power failure, all executors write their rows at the same time.
   kVms,
 };
 
@@ -33,18 +32,22 @@
 inline constexpr char kProgress[] = "progress/";
 inline constexpr char kCancels[] = "cancels/";
 inline constexpr char kLearned[] = "learned/";
+// Interference that best-effort tasks cause on serving tasks, as observed.
 inline constexpr char kInterference[] = "learned/pressure";
-// What the owner may not have heard of yet: "n-" new, "c-" cancelled.
+// Markers for workflows that the owner may not have seen yet: "n-" followed by
+// the ID of a new one, "c-" by that of a cancelled one.
 inline constexpr char kArrivals[] = "arrivals/";
 inline constexpr char kExecutors[] = "executors/";
-// Where executors of earlier versions register: among the work's rows. Read,
-// and removed with their VM, but no longer written.
+// Registrations by executors of earlier versions, in partition kWork. Read, and
+// deleted with their VM, but no longer written.
 inline constexpr char kLegacyExecutors[] = "vms/";
 
+// Returns the key of the marker of a new workflow.
 std::string NewMarker(const std::string& workflow);
+// Returns the key of the marker of a cancelled workflow.
 std::string CancelMarker(const std::string& workflow);
 
-// The partition of the row with this key.
+// Returns the partition of the row with this key.
 constexpr RowPartition PartitionOf(std::string_view key) {
   constexpr std::string_view kPrefix = kExecutors;
   return key.substr(0, kPrefix.size()) == kPrefix ? RowPartition::kVms
--- a/beamhill/work/work.cc
+++ b/beamhill/work/work.cc
@@ -50,7 +50,7 @@
 
 namespace {
 
-// The first range that ends at or after `index`.
+// Returns the first range that ends at or after `index`.
 std::vector<TaskRange>::const_iterator FirstEndingAt(
     const std::vector<TaskRange>& ranges, uint32_t index) {
   return std::lower_bound(
--- a/beamhill/work/work.h
+++ b/beamhill/work/work.h
@@ -1,4 +1,4 @@
-// The value types of work: resources, jobs, tasks, attempts and outcomes.
+// Value types for jobs and their tasks: resources, attempts and outcomes.
 //
 //   TaskId task{"valuation-7", 12};
 //   Attempt second = Attempt::Make(/*epoch=*/3, /*sequence=*/41);
@@ -16,16 +16,17 @@
 
 namespace beamhill {
 
-// Thousandths in a core, the unit of `Resources::cpu_millis`.
+// Units of `Resources::cpu_millis` in one core.
 inline constexpr double kMillicoresPerCore = 1000;
 
-// An amount of a VM's capacity, or of what a task may use of it.
+// An amount of resources: the capacity of a VM, or the part of it granted to a
+// task.
 struct Resources {
-  int64_t cpu_millis = 0;  // Thousandths of a core.
+  int64_t cpu_millis = 0;  // Millicores.
   int64_t memory_mib = 0;
   int64_t accelerators = 0;
 
-  // Whether `part` fits into this amount in every dimension.
+  // Returns whether `part` fits into this amount in every dimension.
   bool Holds(const Resources& part) const;
   bool operator==(const Resources& other) const;
   Resources& operator+=(const Resources& other);
@@ -34,7 +35,7 @@
 Resources operator+(Resources a, const Resources& b);
 Resources operator-(Resources a, const Resources& b);
 
-// One task: a position in its job.
+// Identifies a task by its job and its index in the job.
 struct TaskId {
   std::string job;
   uint32_t index = 0;
@@ -45,12 +46,13 @@
   bool operator==(const TaskId& o) const {
     return job == o.job && index == o.index;
   }
+  // Returns "job#index".
   std::string ToString() const { return job + "#" + std::to_string(index); }
 };
 
-// Orders all tries at running tasks of one cell. The epoch of the owner is
-// the upper part, so a new owner's attempts are above all of its
-// predecessors' without any record of them.
+// Identifies and orders the attempts at running tasks of one cell. The owner's
+// epoch forms the upper bits, so that the attempts of a new owner compare
+// greater than those of all previous owners, without any record of them.
 struct Attempt {
   static constexpr int kSequenceBits = 40;
 
@@ -70,19 +72,20 @@
 // Latency-critical tasks run until cancelled; batch tasks run to their end.
 enum class WorkKind : uint8_t { kBatch, kLatencyCritical };
 
-// What a caller submits.
+// A job as submitted by a caller.
 struct JobSpec {
   std::string id;
   std::string team;
-  std::string work_class;  // Groups tasks that interfere alike.
+  std::string work_class;  // Groups tasks that cause similar interference.
   Urgency urgency = Urgency::kNormal;
   WorkKind kind = WorkKind::kBatch;
   uint32_t tasks = 0;
-  Resources each;
+  Resources each;  // Resources of each task.
+  // Expected run time of a task, as declared by the caller.
   Duration declared_run{};
 };
 
-// The part [begin, end) of a job's tasks that one cell runs.
+// The half-open range [begin, end) of task indexes of a job.
 struct TaskRange {
   uint32_t begin = 0;
   uint32_t end = 0;
@@ -96,37 +99,39 @@
   kFailed,   // The task ran and failed.
   kEvicted,  // Stopped on purpose; `checkpoint` holds its progress, if any.
   kRefused,  // The agent or worker did not start it; it has not run.
-  kLost,     // The worker has it no longer, though nobody stopped it.
+  kLost,     // Missing from the worker, although no stop was requested.
 };
 
-// How one attempt ended.
+// The end of one attempt.
 struct TaskOutcome {
   TaskId task;
   Attempt attempt;
   OutcomeKind kind = OutcomeKind::kDone;
-  std::string checkpoint;  // The object's name; empty when there is none.
+  std::string checkpoint;  // Name of the stored object; empty if there is none.
   std::string reason;
 };
 
-// One task on a VM, as the VM's agent knows it.
+// A task on a VM, as the VM's agent reports it.
 struct RunningTask {
   TaskId task;
   Attempt attempt;
   Resources granted;
 };
 
+// Returns the lower-case name of an outcome, such as "done".
 std::string_view OutcomeKindName(OutcomeKind kind);
 
-// A set of task indexes kept as sorted, disjoint, non-adjacent ranges; small
-// for the mostly contiguous sets that progress consists of.
+// A set of task indexes, stored as sorted, disjoint, non-adjacent ranges, which
+// is compact for the mostly contiguous indexes of completed tasks.
 class IndexSet {
  public:
-  // Adds one index. Returns false when it was there already.
+  // Adds an index. Returns false if the set contained it already.
   bool Add(uint32_t index);
   bool Contains(uint32_t index) const;
+  // Number of indexes.
   uint64_t size() const { return size_; }
   const std::vector<TaskRange>& ranges() const { return ranges_; }
-  // Requires sorted, disjoint ranges.
+  // Creates a set from ranges, which must be sorted and disjoint.
   static IndexSet FromRanges(std::vector<TaskRange> ranges);
 
  private:
--- a/beamhill/work/work_test.cc
+++ b/beamhill/work/work_test.cc
@@ -24,12 +24,12 @@
   }
 }
 
-TEST(Attempt, OfALaterEpochIsAboveAllOfAnEarlierOne) {
+TEST(Attempt, LaterEpochComparesGreaterThanAllOfEarlierEpochs) {
   EXPECT_LT(Attempt::Make(1, (uint64_t{1} << 40) - 1).value,
             Attempt::Make(2, 0).value);
 }
 
-TEST(Resources, HoldsNeedsEveryDimension) {
+TEST(Resources, HoldsComparesEveryDimension) {
   const Resources vm{1000, 100, 1};
   EXPECT_TRUE(vm.Holds({1000, 100, 1}));
   EXPECT_FALSE(vm.Holds({1001, 1, 0}));
