--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -302,7 +302,7 @@
     Drain();
   } else {
     exchange.Reply(
-        {404, {}, "unknown path: use /healthz, /v1/state or POST /v1/drain\n"});
+        {404, {}, "unknown path\n"});
   }
 }
 
