--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -54,13 +54,12 @@
     core_->OnWorkerList({}, TimePoint{});
   }
   if (settings.has_runner) {
-    runner_proxy_ = std::make_unique<RunnerProxy>(
+    proxy_ = std::make_unique<RunnerProxy>(
         loop, settings.runner,
         [this](const std::string& entry, const Message& message) {
           Send(entry, message);
           // Report the first free slot of a full runner without delay.
-          if (runner_proxy_ && runner_proxy_->slot_freed_since_full_report())
-            SendRunnerReport(true);
+          if (proxy_ && proxy_->has_freed_slot()) SendRunnerReport(true);
         });
   }
 }
@@ -123,7 +122,7 @@
   }
   entry.handshake_done = false;
   core_->OnLinkDown(entry.name);
-  if (runner_proxy_) runner_proxy_->OnEntryDown(entry.name);
+  if (proxy_) proxy_->OnEntryDown(entry.name);
   ScheduleRedial(entry);
 }
 
@@ -154,19 +153,19 @@
     entry.handshake_done = true;
     entry.redial_delay = Duration(0);
     Log(LogLevel::kInfo, "entry_linked", {{"entry", entry.name}});
-    if (runner_proxy_) Send(entry.name, runner_proxy_->Report());
+    if (proxy_) Send(entry.name, proxy_->Report());
     // An entry that started while the table is unavailable gets the settings
     // in force from its agents.
     if (settings_revision_ > 0) Send(entry.name, CurrentSettings());
   } else if (const auto* request = std::get_if<RequestStart>(&message)) {
-    if (runner_proxy_) runner_proxy_->OnRequest(entry.name, *request);
+    if (proxy_) proxy_->OnRequest(entry.name, *request);
     SendRunnerReport(false);
   } else if (const auto* claim = std::get_if<KeyClaim>(&message)) {
-    if (runner_proxy_) runner_proxy_->OnKeyClaim(entry.name, *claim);
+    if (proxy_) proxy_->OnKeyClaim(entry.name, *claim);
   } else if (const auto* release = std::get_if<KeyRelease>(&message)) {
-    if (runner_proxy_) runner_proxy_->OnKeyRelease(*release);
+    if (proxy_) proxy_->OnKeyRelease(*release);
   } else if (const auto* cancel = std::get_if<RequestCancel>(&message)) {
-    if (runner_proxy_) runner_proxy_->OnCancel(entry.name, *cancel);
+    if (proxy_) proxy_->OnCancel(entry.name, *cancel);
   } else if (const auto* settings = std::get_if<ActiveSettings>(&message)) {
     OnSettings(*settings);
   } else {
@@ -238,7 +237,7 @@
 void Agent::ExitIfIdle() {
   if (!stop_) return;
   const TimePoint now = BootClock::now();
-  const bool idle = !runner_proxy_ || runner_proxy_->idle();
+  const bool idle = !proxy_ || proxy_->idle();
   if (!idle) stop_->OnActivity(now);
   if (!stop_->MayExit(now, idle ? 0 : 1, /*released=*/true)) return;
   stop_.reset();
@@ -246,13 +245,13 @@
 }
 
 void Agent::SendRunnerReport(bool force) {
-  if (!runner_proxy_) return;
+  if (!proxy_) return;
   const TimePoint now = BootClock::now();
   const bool due = now >= last_report_at_ + kReportInterval;
-  if (!runner_proxy_->TakeReportChanged() && !due && !force) return;
+  if (!proxy_->TakeReportChanged() && !due && !force) return;
   last_report_at_ = now;
-  const RunnerReport report = runner_proxy_->Report();
-  runner_proxy_->StartReportInterval();
+  const RunnerReport report = proxy_->Report();
+  proxy_->StartReportInterval();
   for (const auto& [name, entry] : entries_) {
     if (entry.handshake_done) Send(name, report);
   }
@@ -281,7 +280,7 @@
   options.grace = kMaxDrainTime;
   options.linger = kDrainLinger;
   stop_ = StopSequence(options, BootClock::now());
-  if (runner_proxy_) runner_proxy_->Drain();
+  if (proxy_) proxy_->Drain();
   SendRunnerReport(true);
 }
 
@@ -301,8 +300,7 @@
     exchange.Reply({202, {}, "leaving\n"});
     Drain();
   } else {
-    exchange.Reply(
-        {404, {}, "unknown path\n"});
+    exchange.Reply({404, {}, "unknown path\n"});
   }
 }
 
@@ -335,18 +333,18 @@
       {"bytes_sent", bytes_sent_},
       {"bytes_received", bytes_received_},
       {"process_settings", settings_.effective}};
-  if (runner_proxy_) {
-    const RunnerReport report = runner_proxy_->Report();
+  if (proxy_) {
+    const RunnerReport report = proxy_->Report();
     state["runner"] = {{"in_progress", report.in_progress},
                        {"limit", report.limit},
                        {"latency_ms", ToMillis(report.latency)},
                        {"leaving", report.draining},
-                       {"connections", runner_proxy_->connections()},
-                       {"ran", runner_proxy_->counts().ran},
-                       {"refused", runner_proxy_->counts().refused},
-                       {"unknown", runner_proxy_->counts().unknown},
-                       {"repeated_keys", runner_proxy_->counts().repeated_keys},
-                       {"abandoned", runner_proxy_->counts().abandoned}};
+                       {"connections", proxy_->connections()},
+                       {"ran", proxy_->counts().ran},
+                       {"refused", proxy_->counts().refused},
+                       {"unknown", proxy_->counts().unknown},
+                       {"repeated_keys", proxy_->counts().repeated_keys},
+                       {"abandoned", proxy_->counts().abandoned}};
   }
   return state.dump(2) + "\n";
 }
--- a/beamhill/agent/agent.h
+++ b/beamhill/agent/agent.h
@@ -109,7 +109,7 @@
   uint64_t incarnation_;
   std::unique_ptr<AgentCore> core_;
   std::unique_ptr<HttpWorker> worker_;
-  std::unique_ptr<RunnerProxy> runner_proxy_;
+  std::unique_ptr<RunnerProxy> proxy_;
   std::unique_ptr<HttpServer> operators_;
   std::map<std::string, EntryLink> entries_;
   bool list_pending_ = false;
--- a/beamhill/agent/runner_proxy.h
+++ b/beamhill/agent/runner_proxy.h
@@ -85,7 +85,7 @@
   bool idle() const { return in_progress_ == 0; }
   // Returns whether a slot is free although the last report said that all slots
   // are in use.
-  bool slot_freed_since_full_report() const {
+  bool has_freed_slot() const {
     return last_report_full_ && in_progress_ < options_.slots;
   }
 
