--- a/beamhill/jobs/job_store.h
+++ b/beamhill/jobs/job_store.h
@@ -64,9 +64,10 @@
   explicit JobStore(Table table);
   ~JobStore();
 
-  // Submits a job. Errors: kConflict if its ID stands for another submission;
-  // kUnavailable if the table refused the write; kUnknownOutcome if the table
-  // did not tell whether it took effect, where repeating the call is safe.
+  // Submits a job. Errors: kConflict if the key was used for another
+  // submission; kUnavailable if the table refused the write; kUnknownOutcome if
+  // the table did not tell whether it took effect, where repeating the call is
+  // safe.
   void Submit(const JobSpec& job, const std::vector<JobPart>& parts,
               std::function<void(Result<JobAccepted>)> done);
   // Returns a job with its progress, or kNotFound.
@@ -74,7 +75,8 @@
   void List(std::function<void(Result<std::vector<JobRow>>)> done);
   // Cancels a job. Idempotent. Calls `done` once the cancellation is durable;
   // cells act on it with their next poll of the table. Errors: kNotFound;
-  // kUnknownOutcome if the cancellation may have taken effect.
+  // kUnknownOutcome if the cancellation may have taken effect; otherwise the
+  // error of the table's read.
   void Cancel(const std::string& job, std::function<void(Status)> done);
 
  private:
