--- a/beamhill/cell/cell_owner.cc
+++ b/beamhill/cell/cell_owner.cc
@@ -287,7 +287,7 @@
 
 void CellOwner::SendAcknowledged(Agent& agent, std::vector<StopTask> tasks) {
   if (tasks.empty()) return;
-  Send(agent, Settled{FenceFor(agent), std::move(tasks)});
+  Send(agent, AcknowledgeOutcomes{FenceFor(agent), std::move(tasks)});
 }
 
 void CellOwner::AddHeldTask(Agent& agent, const TaskId& task,
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -153,7 +153,7 @@
   void OnRunnerReport(const std::string& vm, const RunnerReport& report);
   // Evicts a batch task of the VM: its agent reports that throttling them does
   // not protect the service enough.
-  void OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
+  void OnYieldWanted(const std::string& vm, const BatchEvictionRequest& wanted,
                      TimePoint now);
   // The platform's list shows the VM, as leaving or not. A leaving VM gets no
   // new tasks.
--- a/beamhill/cell/cell_owner_test.cc
+++ b/beamhill/cell/cell_owner_test.cc
@@ -351,7 +351,7 @@
   const auto count_acknowledged = [this] {
     size_t count = 0;
     for (const AgentMessage& message : owner_->TakeMessages()) {
-      const auto* settled = std::get_if<Settled>(&message.message);
+      const auto* settled = std::get_if<AcknowledgeOutcomes>(&message.message);
       if (settled != nullptr) count += settled->tasks.size();
     }
     return count;
--- a/beamhill/cell/cell_scheduling.cc
+++ b/beamhill/cell/cell_scheduling.cc
@@ -203,7 +203,8 @@
 
 // Evicts the batch task that adds most to the service's latency by its class's
 // weight and its processor share. Urgent tasks are exempt.
-void CellOwner::OnYieldWanted(const std::string& vm, const YieldWanted& wanted,
+void CellOwner::OnYieldWanted(const std::string& vm,
+                              const BatchEvictionRequest& wanted,
                               TimePoint now) {
   Agent* agent = FindCurrentAgent(vm, wanted.fence);
   if (agent == nullptr) return;
--- a/beamhill/dispatch/dispatch_best_effort.cc
+++ b/beamhill/dispatch/dispatch_best_effort.cc
@@ -110,7 +110,7 @@
       sums.begin(), sums.end(), best_effort_rank,
       [](double order, const auto& entry) { return order < entry.first; });
   const double ahead = after == sums.begin() ? 0 : std::prev(after)->second;
-  return FreeCores(vm) * kMillisOfCore - ahead;
+  return FreeCores(vm) * kMillicoresPerCore - ahead;
 }
 
 bool Dispatcher::NeedsGuaranteedRun(const Job& job) {
@@ -124,7 +124,7 @@
   if (FreeCpuFor(vm, job.best_effort_rank) < asked) return false;
   // A task may displace those of higher rank, within a limit.
   const double displaceable =
-      kMaxDisplacedShare * FreeCores(vm) * kMillisOfCore;
+      kMaxDisplacedShare * FreeCores(vm) * kMillicoresPerCore;
   if (FreeCpuFor(vm, kLastRank) + displaceable < asked) return false;
   const bool starved = PacePercentOf(vm, step.image) < kStarvedPercent;
   return !starved && WorstTailRatio(vm, step) < kMaxTailRatio;
@@ -153,7 +153,7 @@
                              PacePercentOf(vm, held.image) / kFullPacePercent;
   }
   std::sort(ranked.begin(), ranked.end());
-  double free = FreeCores(vm) * kMillisOfCore;
+  double free = FreeCores(vm) * kMillicoresPerCore;
   std::vector<RunRef> starved;
   for (const auto& [rank, run] : ranked) {
     HeldRun& held = vm.held.at(run);
--- a/beamhill/dispatch/dispatch_crashes.cc
+++ b/beamhill/dispatch/dispatch_crashes.cc
@@ -57,7 +57,7 @@
 // Lower is better.
 double TrialCost(const Vm& vm, const WorkflowStep& step, TimePoint now) {
   double cost = static_cast<double>(vm.used.cpu_millis + vm.best_effort_cpu) /
-                kMillisOfCore;
+                kMillicoresPerCore;
   if (IsUnstable(vm, now)) cost += kUnstableCost;
   if (!step.preferred_rack.empty() && vm.status.rack != step.preferred_rack) {
     cost += kOtherRackTrialCost;
--- a/beamhill/dispatch/dispatch_interference.cc
+++ b/beamhill/dispatch/dispatch_interference.cc
@@ -112,7 +112,7 @@
       cores += static_cast<double>(waiting * step.each.cpu_millis);
     }
   }
-  return cores / kMillisOfCore;
+  return cores / kMillicoresPerCore;
 }
 
 void Dispatcher::RefreshPacePolicy(UnixMillis unix_now) {
@@ -120,7 +120,7 @@
   double free = 0;
   for (const auto& [name, vm] : vms_) {
     if (!vm.has_inventory) continue;
-    asked += static_cast<double>(vm.best_effort_cpu) / kMillisOfCore;
+    asked += static_cast<double>(vm.best_effort_cpu) / kMillicoresPerCore;
     if (!IsEvacuated(vm)) free += FreeCores(vm);
   }
   const PacePolicy before = best_effort_load_.policy();
--- a/beamhill/dispatch/dispatch_layout.cc
+++ b/beamhill/dispatch/dispatch_layout.cc
@@ -39,7 +39,7 @@
                                         (vm.used.cpu_millis - vm.serving_cpu));
   const double serving = dispatch_internal::kServingUtilization *
                          static_cast<double>(vm.serving_cpu);
-  return (room - serving) / kMillisOfCore;
+  return (room - serving) / kMillicoresPerCore;
 }
 
 void Dispatcher::UpdateBestEffortDemand() {
@@ -49,7 +49,7 @@
     for (const WorkflowStep& step : job->progress.workflow().steps) {
       if (!step.best_effort) continue;
       const auto cpu = static_cast<double>(step.each.cpu_millis) * step.tasks;
-      asked[step.image] += cpu / kMillisOfCore;
+      asked[step.image] += cpu / kMillicoresPerCore;
     }
   }
   for (const auto& [image, cores] : asked) image_demand_.emplace(image, cores);
@@ -94,7 +94,7 @@
   after.insert(image);
   const double free = FreeCores(vm);
   const double used = dispatch_internal::kServingUtilization *
-                      static_cast<double>(cpu_millis) / kMillisOfCore;
+                      static_cast<double>(cpu_millis) / kMillicoresPerCore;
   return layout_.EffectiveCores(before, free) -
          layout_.EffectiveCores(after, free - used);
 }
@@ -109,7 +109,7 @@
     if (serves && held.image == image) cpu += held.amount.cpu_millis;
   }
   const double freed = dispatch_internal::kServingUtilization *
-                       static_cast<double>(cpu) / kMillisOfCore;
+                       static_cast<double>(cpu) / kMillicoresPerCore;
   return layout_.EffectiveCores(after, FreeCores(vm) + freed) - before;
 }
 
--- a/beamhill/dispatch/ownership_keeper.cc
+++ b/beamhill/dispatch/ownership_keeper.cc
@@ -70,7 +70,7 @@
     const bool idle = now - last_commit_ >= options_.confirm_interval;
     if (idle && !commit_ && !releasing_) Commit({}, [](bool) {});
     const bool overdue =
-        commit_ && now - commit_->last_sent >= answer_times_.Patience();
+        commit_ && now - commit_->last_sent >= answer_times_.ReplyTimeout();
     if (overdue && !resolving_conflict_ && !checking_commit_) ReadForCommit();
     return;
   }
@@ -259,7 +259,7 @@
                                       const Result<std::vector<Row>>& rows) {
   if (!IsOk(rows)) return;
   const Duration read_time = hooks_.now() - sent_at;
-  const bool lost = answer_times_.IsQuick(read_time);
+  const bool lost = answer_times_.ImpliesLostReply(read_time);
   answer_times_.Add(read_time);
   const bool open = commit_ && commit_->next.sequence == sequence;
   if (!open || resolving_conflict_) return;
--- a/beamhill/dispatch/ownership_keeper.h
+++ b/beamhill/dispatch/ownership_keeper.h
@@ -30,7 +30,7 @@
 #include "beamhill/base/lifetime.h"
 #include "beamhill/base/time.h"
 #include "beamhill/dispatch/dispatch_messages.h"
-#include "beamhill/table/answer_times.h"
+#include "beamhill/table/response_time_estimator.h"
 #include "beamhill/table/row_names.h"
 #include "beamhill/table/table.h"
 
@@ -171,7 +171,7 @@
   std::optional<OpenCommit> commit_;
   // Sequence of the latest transaction of this process; never used twice.
   uint64_t last_sequence_ = 0;
-  AnswerTimes answer_times_;
+  ResponseTimeEstimator answer_times_;
   TimePoint confirmed_at_{};
   TimePoint last_commit_{};
 
--- a/beamhill/entry/entry.cc
+++ b/beamhill/entry/entry.cc
@@ -178,7 +178,7 @@
   router_.OnMessage(vm, message);
   const auto it = linked_agents_.find(vm);
   if (it == linked_agents_.end()) return;
-  if (const auto* settings = std::get_if<SettingsInForce>(&message)) {
+  if (const auto* settings = std::get_if<ActiveSettings>(&message)) {
     AdoptSettings(it->second, *settings);
     return;
   }
@@ -246,7 +246,7 @@
 
 // Agents report the settings that they last received. An accepted setting thus
 // stays in force when this entry restarts while the table does not answer.
-void Entry::AdoptSettings(const Hello& hello, const SettingsInForce& settings) {
+void Entry::AdoptSettings(const Hello& hello, const ActiveSettings& settings) {
   const std::string node = HallNode(hello.region, hello.hall);
   const uint64_t known =
       std::max(settings_store_.tree().revision(), adopted_revisions_[node]);
@@ -280,13 +280,13 @@
   if (adopted != adopted_revisions_.end() &&
       adopted->second > tree.revision()) {
     const SettingValues& values = hall_settings_.at(node);
-    links_->Send(hello.vm, SettingsInForce{adopted->second,
-                                           {values.begin(), values.end()}});
+    links_->Send(hello.vm, ActiveSettings{adopted->second,
+                                          {values.begin(), values.end()}});
     return;
   }
   if (tree.revision() == 0) return;
   links_->Send(hello.vm,
-               SettingsInForce{tree.revision(), tree.EffectiveValues(node)});
+               ActiveSettings{tree.revision(), tree.EffectiveValues(node)});
 }
 
 void Entry::Drain() {
--- a/beamhill/entry/entry.h
+++ b/beamhill/entry/entry.h
@@ -78,7 +78,7 @@
   void RefreshHallSettings();
   // Applies settings reported by an agent if they are newer than the known
   // ones.
-  void AdoptSettings(const Hello& hello, const SettingsInForce& settings);
+  void AdoptSettings(const Hello& hello, const ActiveSettings& settings);
   void OnHello(const Hello& hello);
   void OnAgentDisconnected(const Hello& hello);
   void OnMessage(const std::string& vm, const Message& message);
--- a/beamhill/messages/codec.cc
+++ b/beamhill/messages/codec.cc
@@ -9,8 +9,9 @@
 namespace beamhill {
 namespace {
 
-// The fields of each structure, in wire order. One list serves both ways.
-// Some structures share field names. NOLINTBEGIN(bugprone-branch-clone)
+// Lists the fields of each structure in wire order, for encoding and decoding.
+// Branches are equal where structures share field names.
+// NOLINTBEGIN(bugprone-branch-clone)
 struct MessageFields {
   template <typename T>
   static auto Of(T& v) {
@@ -56,12 +57,12 @@
       return std::tie(v.fence, v.mode, v.tasks);
     } else if constexpr (std::is_same_v<U, Outcomes>) {
       return std::tie(v.fence, v.outcomes);
-    } else if constexpr (std::is_same_v<U, Settled>) {
+    } else if constexpr (std::is_same_v<U, AcknowledgeOutcomes>) {
       return std::tie(v.fence, v.tasks);
     } else if constexpr (std::is_same_v<U, OwnerLost>) {
       return std::tie(v.epoch);
     } else if constexpr (std::is_same_v<U, RunnerReport>) {
-      return std::tie(v.in_progress, v.limit, v.ended, v.latency, v.leaving);
+      return std::tie(v.in_progress, v.limit, v.ended, v.latency, v.draining);
     } else if constexpr (std::is_same_v<U, RequestStart>) {
       return std::tie(v.id, v.service, v.method, v.target, v.headers,
                       v.idempotency_key, v.key_is_new, v.deadline, v.body);
@@ -73,9 +74,9 @@
       return std::tie(v.id, v.bytes);
     } else if constexpr (std::is_same_v<U, ResponseEnd>) {
       return std::tie(v.id, v.outcome, v.reason);
-    } else if constexpr (std::is_same_v<U, SettingsInForce>) {
+    } else if constexpr (std::is_same_v<U, ActiveSettings>) {
       return std::tie(v.revision, v.values);
-    } else if constexpr (std::is_same_v<U, YieldWanted>) {
+    } else if constexpr (std::is_same_v<U, BatchEvictionRequest>) {
       return std::tie(v.fence);
     } else if constexpr (std::is_same_v<U, KeyClaim>) {
       return std::tie(v.id, v.key);
--- a/beamhill/messages/codec_test.cc
+++ b/beamhill/messages/codec_test.cc
@@ -35,7 +35,7 @@
       StartTasks{kFence, job, {{4, {8}, "ck"}}},
       StopTasks{kFence, StopMode::kEvict, {{{"j", 1}, {5}}}},
       Outcomes{kFence, {outcome}},
-      Settled{kFence, {{{"j", 1}, {5}}}},
+      AcknowledgeOutcomes{kFence, {{{"j", 1}, {5}}}},
       OwnerLost{4},
       RunnerReport{1, 8, 3, Duration(5), true},
       RequestStart{
@@ -44,14 +44,14 @@
       ResponseStart{1, 200, {{"A", "b"}}},
       ResponseBytes{1, std::string("\0\xfe", 2)},
       ResponseEnd{1, RequestOutcome::kNotRun, "r"},
-      SettingsInForce{8, {{"a", "b"}}},
-      YieldWanted{kFence},
+      ActiveSettings{8, {{"a", "b"}}},
+      BatchEvictionRequest{kFence},
       KeyClaim{1, "k"},
       KeyClaimed{1, true},
       KeyRelease{"k"}};
 }
 
-TEST(Codec, CarriesEachMessageWhole) {
+TEST(Codec, RoundTripsEachMessage) {
   const std::vector<Message> messages = OneOfEach();
   ASSERT_EQ(messages.size(), std::variant_size_v<Message>);
   for (size_t i = 0; i < messages.size(); ++i) {
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(Codec, RefusesEachMessageCutShort) {
+TEST(Codec, RejectsTruncatedAndOverlongMessages) {
   for (const Message& message : OneOfEach()) {
     const std::string bytes = Encode(message);
     for (size_t size = 0; size < bytes.size(); ++size) {
@@ -74,20 +74,20 @@
   }
 }
 
-RC_GTEST_PROP(Codec, NeverFailsOnArbitraryBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(Codec, SurvivesArbitraryBytes, (const std::string& bytes)) {
   const Result<Message> decoded = Decode(bytes);
   if (IsOk(decoded)) {
     RC_ASSERT(IsOk(Decode(Encode(ValueOf(decoded)))));
   }
 }
 
-TEST(Codec, RefusesAnImpossibleContainerSize) {
+TEST(Codec, RejectsImpossibleContainerSize) {
   EXPECT_FALSE(
       IsOk(Decode("\xBB"
                   "aaaaaaaa")));
 }
 
-TEST(Codec, KeepsTheFrequentMessagesSmall) {
+TEST(Codec, FrequentMessagesAreSmall) {
   const TimePoint now = BootClock::now();
   EXPECT_LE(Encode(Heartbeat{kFence, now}).size(), 60U);
   EXPECT_LE(Encode(Grant{kFence, now, std::chrono::minutes(2)}).size(), 60U);
--- a/beamhill/replay/load_replay.cc
+++ b/beamhill/replay/load_replay.cc
@@ -339,7 +339,7 @@
           run_time * (waves + (drawn.failing.back().empty() ? 0 : 1));
       drawn.outcome.core_seconds += step.tasks * Seconds(run_time).count() *
                                     static_cast<double>(step.each.cpu_millis) /
-                                    kMillisOfCore;
+                                    kMillicoresPerCore;
       workflow.steps.push_back(std::move(step));
     }
     drawn.outcome.id = workflow.id;
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -171,7 +171,7 @@
     if (run.task.best_effort) {
       shares[run.task.image] +=
           used / static_cast<double>(capacity_.cpu_millis);
-      best_effort_core_seconds_ += used / kMillisOfCore * seconds;
+      best_effort_core_seconds_ += used / kMillicoresPerCore * seconds;
     }
     const double total_seconds =
         std::chrono::duration<double>(run.task.work).count();
--- a/beamhill/routing/runner_table.cc
+++ b/beamhill/routing/runner_table.cc
@@ -55,7 +55,7 @@
   if (it == runners_.end()) return;
   Runner& runner = it->second;
   runner.limit = report.limit;
-  runner.leaving = report.leaving;
+  runner.leaving = report.draining;
   runner.reported_at = now;
   runner.other_in_progress = report.in_progress > runner.sent_in_progress
                                  ? report.in_progress - runner.sent_in_progress
--- a/beamhill/scheduler/job_repository.cc
+++ b/beamhill/scheduler/job_repository.cc
@@ -115,7 +115,7 @@
     if (expired) Finish(number, SubmitResult::kUnknown);
   }
   const bool overdue =
-      open_ > 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ > 0 && now - last_sent_ >= answer_times_.ReplyTimeout();
   if (CanSend()) {
     SendPending();
   } else if (overdue && awaiting_answer_ && !check_in_flight_ &&
@@ -128,7 +128,7 @@
   const TimePoint now = now_();
   if (table_down_ || open_ >= kMaxTransactions || now < retry_at_) return false;
   const bool timed_out =
-      open_ == 0 && now - last_sent_ >= answer_times_.Patience();
+      open_ == 0 && now - last_sent_ >= answer_times_.ReplyTimeout();
   return !awaiting_answer_ || timed_out;
 }
 
@@ -149,7 +149,7 @@
                                   const std::optional<Row>& row) {
   if (!row) return;
   const Duration latency = now_() - sent_at;
-  const bool lost = answer_times_.IsQuick(latency);
+  const bool lost = answer_times_.ImpliesLostReply(latency);
   answer_times_.Add(latency);
   const bool stored = row->version != 0;
   if (stored && submissions_.count(number) > 0) {
@@ -215,7 +215,7 @@
     remaining.push_back(number);
   }
   if (result == CommitResult::kConflict && batch.size() > 1) {
-    OnBatchConflict(remaining, answer.standing);
+    OnBatchConflict(remaining, answer.current_rows);
     return;
   }
   for (const Number number : remaining) OnSubmissionAnswer(number, result);
--- a/beamhill/scheduler/job_repository.h
+++ b/beamhill/scheduler/job_repository.h
@@ -30,7 +30,7 @@
 
 #include "beamhill/base/lifetime.h"
 #include "beamhill/dispatch/dispatch_messages.h"
-#include "beamhill/table/answer_times.h"
+#include "beamhill/table/response_time_estimator.h"
 #include "beamhill/table/row_names.h"
 #include "beamhill/table/table.h"
 #include "beamhill/workflow/workflow.h"
@@ -136,7 +136,7 @@
   std::function<TimePoint()> now_;
   std::map<Number, Submission> submissions_;
   Number last_number_ = 0;
-  AnswerTimes answer_times_;
+  ResponseTimeEstimator answer_times_;
   int open_ = 0;                  // Unanswered transactions.
   bool awaiting_answer_ = false;  // Since the last transaction.
   bool check_in_flight_ = false;
--- a/beamhill/scheduler/work_owner.cc
+++ b/beamhill/scheduler/work_owner.cc
@@ -31,15 +31,15 @@
 
 // The stored rows, collected prefix by prefix.
 struct WorkOwner::LoadedRows {
-  std::vector<std::string> prefixes = {
-      rows::kExecutors, rows::kEarlierExecutors, rows::kWorkflows,
-      rows::kProgress,  rows::kCancels,          rows::kLearned};
+  std::vector<std::string> prefixes = {rows::kExecutors, rows::kLegacyExecutors,
+                                       rows::kWorkflows, rows::kProgress,
+                                       rows::kCancels,   rows::kLearned};
   std::map<std::string, std::vector<Row>> rows_by_prefix;
 
   // Returns each VM's name once.
   std::set<std::string> VmNames() const {
     std::set<std::string> names;
-    for (const char* prefix : {rows::kExecutors, rows::kEarlierExecutors}) {
+    for (const char* prefix : {rows::kExecutors, rows::kLegacyExecutors}) {
       for (const Row& row : rows_by_prefix.at(prefix)) {
         names.insert(StripPrefix(row.key, prefix));
       }
@@ -155,7 +155,7 @@
        {"workflows", dispatcher_->workflows()},
        {"vms", loaded_rows.VmNames().size()}});
   OnVmRows(loaded_rows.rows_by_prefix.at(rows::kExecutors));
-  OnEarlierVmRows(loaded_rows.rows_by_prefix.at(rows::kEarlierExecutors));
+  OnEarlierVmRows(loaded_rows.rows_by_prefix.at(rows::kLegacyExecutors));
   tick_ = loop_.Every(kTickInterval, [this] { Tick(); });
   vm_scan_ = loop_.Every(options_.vm_scan_interval, [this] { ScanVms(); });
   earlier_vm_scan_ = loop_.Every(options_.earlier_vm_scan_interval,
@@ -327,7 +327,7 @@
   const TimePoint now = BootClock::now();
   if (now - interference_stored_at_ >= kStoreInterferenceInterval) {
     interference_stored_at_ = now;
-    writes.push_back({rows::kPressure, kAnyVersion,
+    writes.push_back({rows::kInterference, kAnyVersion,
                       EncodeRecord(dispatcher_->LearnedInterference())});
   }
   constexpr size_t kMaxWrites = 98;  // The limit is 100; one is the owner row.
--- a/beamhill/scheduler/work_owner_test.cc
+++ b/beamhill/scheduler/work_owner_test.cc
@@ -162,8 +162,8 @@
                     EncodeRecord(vm.Record())};
   };
   Transaction rows;
-  rows.writes = {row(rows::kEarlierExecutors, earlier),
-                 row(rows::kEarlierExecutors, left_address),
+  rows.writes = {row(rows::kLegacyExecutors, earlier),
+                 row(rows::kLegacyExecutors, left_address),
                  row(rows::kExecutors, upgraded)};
   table_.model().Commit(rows);
   EXPECT_TRUE(RunUntil(
--- a/beamhill/workflow/workflow_progress.cc
+++ b/beamhill/workflow/workflow_progress.cc
@@ -222,7 +222,7 @@
     const WorkflowStep& spec = workflow_.steps[step];
     const std::chrono::duration<double> each = ExpectedRun(step);
     work += remaining_tasks_[StepIndex(round, step)] * each.count() *
-            static_cast<double>(spec.each.cpu_millis) / kMillisOfCore;
+            static_cast<double>(spec.each.cpu_millis) / kMillicoresPerCore;
   }
   return work;
 }
