--- a/beamhill/agent/agent.cc
+++ b/beamhill/agent/agent.cc
@@ -239,7 +239,7 @@
   const TimePoint now = BootClock::now();
   const bool idle = !proxy_ || proxy_->idle();
   if (!idle) stop_->OnActivity(now);
-  if (!stop_->MayExit(now, idle ? 0 : 1, /*released=*/true)) return;
+  if (!stop_->MayExit(now, idle ? 0 : 1, /*work_released=*/true)) return;
   stop_.reset();
   if (on_drained_) on_drained_();
 }
