--- a/beamhill/testing/process_keys_test.cc
+++ b/beamhill/testing/process_keys_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <thread>
 
-#include "beamhill/testing/test_estate.h"
+#include "beamhill/testing/test_deployment.h"
 
 namespace beamhill {
 namespace {
--- a/beamhill/testing/process_test.cc
+++ b/beamhill/testing/process_test.cc
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <thread>
 
-#include "beamhill/testing/test_estate.h"
+#include "beamhill/testing/test_deployment.h"
 
 namespace beamhill {
 namespace {
--- a/beamhill/testing/test_estate.cc
+++ b/beamhill/testing/test_deployment.cc
@@ -1,4 +1,4 @@
-#include "beamhill/testing/test_estate.h"
+#include "beamhill/testing/test_deployment.h"
 
 #include <csignal>
 #include <cstdlib>
--- a/beamhill/testing/test_estate.h
+++ b/beamhill/testing/test_deployment.h
@@ -3,8 +3,8 @@
 //   TestEstate estate({/*entries=*/2, /*vms=*/3});
 //   ASSERT_TRUE(estate.WaitUntilOwned());
 //   estate.Signal("entry-1", SIGKILL);
-#ifndef BEAMHILL_TESTING_TEST_ESTATE_H_
-#define BEAMHILL_TESTING_TEST_ESTATE_H_
+#ifndef BEAMHILL_TESTING_TEST_DEPLOYMENT_H_
+#define BEAMHILL_TESTING_TEST_DEPLOYMENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -81,4 +81,4 @@
 
 }  // namespace beamhill
 
-#endif  // BEAMHILL_TESTING_TEST_ESTATE_H_
+#endif  // BEAMHILL_TESTING_TEST_DEPLOYMENT_H_
