--- a/beamhill/dispatch/ownership_keeper_test.cc
+++ b/beamhill/dispatch/ownership_keeper_test.cc
@@ -142,7 +142,7 @@
   table_.set_fault(TableFault::kNone);
   a.keeper->Commit({{"progress/x", kAnyVersion, "new"}}, [](bool) {});
   table_.Deliver();
-  EXPECT_THAT(table_.DoLate(), ElementsAre(CommitResult::kConflict));
+  EXPECT_THAT(table_.ApplyLateCommits(), ElementsAre(CommitResult::kConflict));
   EXPECT_EQ(table_.model().rows().at("progress/x").value, "new");
 }
 
@@ -195,7 +195,7 @@
   table_.set_fault(TableFault::kLate);
   a.keeper->Commit({{"progress/x", kAnyVersion, "1"}}, [](bool) {});
   table_.Deliver();
-  table_.DoLate();
+  table_.ApplyLateCommits();
   table_.set_fault(TableFault::kNone);
   std::optional<bool> stored;
   a.keeper->Commit({{"progress/y", kAnyVersion, "2"}},
--- a/beamhill/testing/faulty_table.h
+++ b/beamhill/testing/faulty_table.h
@@ -22,7 +22,7 @@
   kNone,
   kDown,        // Nothing is done, and the caller knows.
   kAnswerLost,  // Done, but the caller doesn't learn of it.
-  kLate,        // Not done yet; DoLate does it. The caller learns nothing.
+  kLate,        // Not done yet; ApplyLateCommits does it. The caller learns nothing.
 };
 
 class FaultyTable {
@@ -67,7 +67,7 @@
   }
 
   // The store now does what it was late with.
-  std::vector<CommitResult> DoLate() {
+  std::vector<CommitResult> ApplyLateCommits() {
     std::vector<CommitResult> results;
     for (const Transaction& transaction : std::exchange(late_, {})) {
       results.push_back(model_.Commit(transaction).result);
