--- a/beamhill/testing/coordination_main.cc
+++ b/beamhill/testing/coordination_main.cc
@@ -1,6 +1,7 @@
 // beamhill-coordination: runs the coordination simulation for many seeds.
 //   beamhill-coordination --seed 7 --faults "link cut,table down"
-// Prints every violation with its seed, and the figures.
+// Prints every violation with its seed, then the totals. Exits with 1 if there
+// was a violation.
 #include <tclap/CmdLine.h>
 
 #include <iostream>
@@ -11,7 +12,7 @@
 namespace beamhill {
 namespace {
 
-// In the order given, which is part of what a seed repeats.
+// Keeps the given order: it decides which faults a seed draws.
 std::vector<SimFault> ParseFaults(const std::string& list) {
   std::vector<SimFault> faults;
   std::istringstream in(list);
@@ -28,19 +29,20 @@
 }
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine cmd("Coordination in virtual time under faults.");
+  TCLAP::CmdLine cmd("Simulates coordination in virtual time under faults.");
   TCLAP::ValueArg<uint64_t> seed("", "seed", "first seed", false, 1, "number",
                                  cmd);
-  TCLAP::ValueArg<uint64_t> steps("", "steps", "run seeds until so many steps",
-                                  false, 1, "count", cmd);
-  TCLAP::ValueArg<std::string> faults("", "faults", "names; all when empty",
-                                      false, "", "a,b", cmd);
+  TCLAP::ValueArg<uint64_t> steps(
+      "", "steps", "run seeds until this many steps", false, 1, "count", cmd);
+  TCLAP::ValueArg<std::string> faults(
+      "", "faults", "fault names; all when empty", false, "", "a,b", cmd);
   TCLAP::ValueArg<int> interval("", "interval", "mean time between faults",
                                 false, 6000, "ms", cmd);
-  TCLAP::ValueArg<int> length("", "length", "time with faults", false, 60,
-                              "seconds", cmd);
-  TCLAP::ValueArg<int> defect("", "defect", "plant this defect", false, 0,
-                              "number", cmd);
+  TCLAP::ValueArg<int> length("", "length",
+                              "time during which faults are injected", false,
+                              60, "seconds", cmd);
+  TCLAP::ValueArg<int> defect("", "defect", "inject this defect; 0: none",
+                              false, 0, "number", cmd);
   cmd.parse(argc, argv);
   SimReport sum;
   for (uint64_t i = 0; sum.steps < steps.getValue(); ++i) {
--- a/beamhill/testing/coordination_names.cc
+++ b/beamhill/testing/coordination_names.cc
@@ -25,14 +25,14 @@
       "lease counted from arrival",
       "lease never ends",
       "inventory partial",
-      "settled before durable",
-      "unconfirmed owner obeyed",
-      "roster not kept",
-      "window not kept",
-      "writes unconditional",
-      "confirmation invented",
-      "earlier agent obeyed",
-      "living VM taken as gone"};
+      "acknowledged before durable",
+      "unconfirmed owner accepted",
+      "roster not saved",
+      "window not saved",
+      "unconditional writes",
+      "ownership confirmed by a stale read",
+      "earlier agent accepted",
+      "live VM reported gone"};
   return kNames[static_cast<int>(defect)];
 }
 
--- a/beamhill/testing/coordination_sim.cc
+++ b/beamhill/testing/coordination_sim.cc
@@ -17,13 +17,13 @@
 
 constexpr char kCell[] = "hall";
 constexpr Resources kVm{4000, 8000, 0};
-constexpr int kFewestVms = 2;
+constexpr int kMinLiveVms = 2;
 constexpr Duration kListPollPeriod = std::chrono::seconds(2);
-// Longer than the ownership term, so that authority runs out in it.
+// Longer than the ownership term, so that ownership expires during it.
 constexpr Duration kLongPause = std::chrono::seconds(45);
 
-// A stable number for a task, to give it a fixed true run time.
-uint64_t Mix(const TaskId& task, uint64_t salt) {
+// Hashes a task, to give it the same true run time at each attempt.
+uint64_t HashTask(const TaskId& task, uint64_t salt) {
   uint64_t x = std::hash<std::string>()(task.job) ^
                (task.index * 0x9E3779B97F4A7C15ULL) ^ salt;
   x ^= x >> 31;
@@ -35,7 +35,7 @@
  public:
   explicit CoordinationSim(const SimOptions& options)
       : options_(options), world_(options.seed), table_(world_) {
-    PlantTableDefects();
+    InjectTableDefects();
     for (int i = 0; i < options.entries; ++i) {
       entries_.push_back(std::make_unique<SimEntry>(
           world_, table_, "entry-" + std::to_string(i + 1)));
@@ -43,9 +43,9 @@
     for (int i = 0; i < options.vms; ++i) AddVm();
   }
 
-  // Loses the owner in the middle of a long job and waits for the next start.
-  Duration Takeover(SimFault fault) {
-    for (int i = 0; i < 4; ++i) SubmitJob(500, kFits);
+  // Fails the owner during a long job and waits for the next start.
+  Duration RunTakeover(SimFault fault) {
+    for (int i = 0; i < 4; ++i) SubmitJob(500, kFittingTask);
     const TimePoint lost_at = world_.now() + std::chrono::seconds(20);
     while (world_.Step(lost_at)) {
     }
@@ -55,7 +55,7 @@
     if (fault == SimFault::kEntryReleased) owner.Release();
     const size_t before = record_.events().size();
     while (world_.Step(lost_at + std::chrono::minutes(2))) {
-      const TimePoint started = StartedByAnother(before);
+      const TimePoint started = StartUnderNewOwner(before);
       if (started != TimePoint{}) return started - lost_at;
     }
     return std::chrono::minutes(2);
@@ -63,25 +63,25 @@
 
   SimReport Run() {
     const TimePoint faults_end = world_.now() + options_.length;
-    for (int i = 0; i < 3; ++i) SubmitJob(20, kFits);
+    for (int i = 0; i < 3; ++i) SubmitJob(20, kFittingTask);
     world_.After(std::chrono::seconds(5),
-                 [this, faults_end] { DrawFault(faults_end); });
-    world_.After(kListPollPeriod, [this] { PollList(); });
+                 [this, faults_end] { InjectFaults(faults_end); });
+    world_.After(kListPollPeriod, [this] { PollVmList(); });
     world_.After(std::chrono::seconds(10),
                  [this, faults_end] { SubmitRegularly(faults_end); });
-    while (world_.Step(faults_end)) Observe();
-    Heal();
-    const TimePoint end = faults_end + options_.calm;
-    while (!AllFinished() && world_.Step(end)) Observe();
+    while (world_.Step(faults_end)) TrackOwner();
+    ClearFaults();
+    const TimePoint end = faults_end + options_.recovery;
+    while (!AllFinished() && world_.Step(end)) TrackOwner();
     return Report();
   }
 
  private:
-  static constexpr Resources kFits{1000, 1000, 0};
-  static constexpr Resources kNeverFits{5000, 1000, 0};
+  static constexpr Resources kFittingTask{1000, 1000, 0};
+  static constexpr Resources kOversizedTask{5000, 1000, 0};
 
-  // When a task was first started under a later epoch.
-  TimePoint StartedByAnother(size_t from) const {
+  // Returns when a task was first started under a later epoch.
+  TimePoint StartUnderNewOwner(size_t from) const {
     const auto& events = record_.events();
     for (size_t i = from; i < events.size(); ++i) {
       const bool started = events[i].kind == WorkEventKind::kStarted;
@@ -102,7 +102,7 @@
   }
 
   Duration TrueRunTime(const TaskId& task, const JobSpec& job) const {
-    const uint64_t mixed = Mix(task, options_.seed);
+    const uint64_t mixed = HashTask(task, options_.seed);
     const double factor = 0.5 + static_cast<double>(mixed % 1000) / 1000.0;
     auto run = std::chrono::duration_cast<Duration>(job.declared_run * factor);
     if (wrong_run_times_) run = run * (1 + static_cast<int64_t>(mixed % 7));
@@ -118,7 +118,7 @@
         world_.Between(std::chrono::milliseconds(500), std::chrono::seconds(6));
     row.job.urgency = world_.Chance(0.2) ? Urgency::kUrgent : Urgency::kNormal;
     row.range = {0, tasks};
-    row.initial_window = options_.defect == SimDefect::kWindowNotKept ? 0 : 8;
+    row.initial_window = options_.defect == SimDefect::kWindowNotSaved ? 0 : 8;
     Transaction submit;
     submit.writes.push_back({RangeKey(kCell, row.job.id), 0, EncodeRow(row)});
     table_.model().Commit(submit);
@@ -127,12 +127,12 @@
 
   void SubmitRegularly(TimePoint until) {
     if (world_.now() >= until) return;
-    SubmitJob(static_cast<uint32_t>(5 + world_.Below(30)), kFits);
+    SubmitJob(static_cast<uint32_t>(5 + world_.Below(30)), kFittingTask);
     world_.After(std::chrono::seconds(12),
                  [this, until] { SubmitRegularly(until); });
   }
 
-  // Cancels a job as the product does: on the version that it read.
+  // Cancels a job like the product, conditional on the version read.
   void CancelJob() {
     const auto rows = table_.model().Scan(RangePrefix(kCell));
     if (rows.empty()) return;
@@ -161,17 +161,17 @@
     return const_cast<SimTable&>(table_).model().rows();
   }
 
-  // The platform's list: shows a loss after a lag, once to each live entry
-  // that has seen the VM.
-  void PollList() {
-    world_.After(kListPollPeriod, [this] { PollList(); });
+  // Polls the platform's VM list, which shows a loss after a lag, and reports
+  // each loss once to every live entry.
+  void PollVmList() {
+    world_.After(kListPollPeriod, [this] { PollVmList(); });
     for (const auto& vm : vms_) {
-      const bool wrong =
-          options_.defect == SimDefect::kLivingVmGone && world_.Chance(0.02);
-      const auto lost = lost_at_.find(vm->name());
-      const bool shows = lost != lost_at_.end() && world_.now() >= lost->second;
-      if (!wrong && (!shows || !announced_.insert(vm->name()).second)) continue;
-      // A wrong list is believed only of a VM that is not heard.
+      const bool wrong = options_.defect == SimDefect::kLiveVmReportedGone &&
+                         world_.Chance(0.02);
+      const auto lost = gone_at_.find(vm->name());
+      const bool shows = lost != gone_at_.end() && world_.now() >= lost->second;
+      if (!wrong && (!shows || !reported_.insert(vm->name()).second)) continue;
+      // Entries believe a wrong list only about a VM that is not linked.
       if (wrong) {
         for (size_t i = 0; i < entries_.size(); ++i) vm->CutLink(i);
       }
@@ -181,13 +181,13 @@
     }
   }
 
-  void LoseVm(SimVm& vm) {
-    const auto living =
+  void FailVm(SimVm& vm) {
+    const auto live =
         std::count_if(vms_.begin(), vms_.end(),
                       [](const auto& each) { return !each->lost(); });
-    if (vm.lost() || living <= kFewestVms) return;
+    if (vm.lost() || live <= kMinLiveVms) return;
     vm.Lose();
-    lost_at_[vm.name()] =
+    gone_at_[vm.name()] =
         world_.now() +
         world_.Between(std::chrono::seconds(1), std::chrono::seconds(12));
     world_.After(std::chrono::seconds(8), [this] { AddVm(); });
@@ -202,7 +202,7 @@
 
   SimEntry& AnyEntry() { return *entries_[world_.Below(entries_.size())]; }
 
-  // The entry that acts as owner, if any; faults there hurt most.
+  // Returns the entry that acts as owner, if any: faults there matter most.
   SimEntry& OwnerOrAny() {
     for (const auto& entry : entries_) {
       if (entry->host() != nullptr && entry->host()->owns()) return *entry;
@@ -214,12 +214,12 @@
     return world_.Chance(0.75) ? OwnerOrAny() : AnyEntry();
   }
 
-  void DrawFault(TimePoint until) {
+  void InjectFaults(TimePoint until) {
     if (world_.now() >= until || options_.faults.empty()) return;
-    Cause(options_.faults[world_.Below(options_.faults.size())]);
+    Inject(options_.faults[world_.Below(options_.faults.size())]);
     const auto least = options_.fault_interval / 4;
     world_.After(world_.Between(least, options_.fault_interval * 2 - least),
-                 [this, until] { DrawFault(until); });
+                 [this, until] { InjectFaults(until); });
   }
 
   void PauseFor(SimProcess& process, Duration length) {
@@ -242,16 +242,16 @@
                                                std::chrono::seconds(15));
   }
 
-  void Cause(SimFault fault) {
+  void Inject(SimFault fault) {
     switch (fault) {
       case SimFault::kLoadWave:
-        for (int i = 0; i < 5; ++i) SubmitJob(30, kFits);
+        for (int i = 0; i < 5; ++i) SubmitJob(30, kFittingTask);
         return;
       case SimFault::kWrongRunTimes:
         wrong_run_times_ = !wrong_run_times_;
         return;
       case SimFault::kImpossibleJob:
-        return SubmitJob(3, kNeverFits);
+        return SubmitJob(3, kOversizedTask);
       case SimFault::kCancelWave:
         for (int i = 0; i < 3; ++i) CancelJob();
         return;
@@ -265,9 +265,9 @@
       case SimFault::kEvictionWave:
         return EvictMany();
       case SimFault::kVmLost:
-        return LoseVm(AnyVm());
+        return FailVm(AnyVm());
       case SimFault::kRackLost:
-        for (int i = 0; i < 3; ++i) LoseVm(AnyVm());
+        for (int i = 0; i < 3; ++i) FailVm(AnyVm());
         return;
       case SimFault::kEntryKilled: {
         SimEntry& entry = TargetEntry();
@@ -298,7 +298,7 @@
       case SimFault::kAgentPaused: {
         SimVm& vm = AnyVm();
         const Duration length = FaultLength();
-        record_.AddOutOfReach(vm.name(), world_.now(), world_.now() + length);
+        record_.AddUnreachable(vm.name(), world_.now(), world_.now() + length);
         return PauseFor(vm.process(), length);
       }
       case SimFault::kLinkCut: {
@@ -309,18 +309,18 @@
       }
       case SimFault::kLinkSlow: {
         SimVm& vm = AnyVm();
-        vm.wire_delay = world_.Between(std::chrono::milliseconds(100),
+        vm.link_delay = world_.Between(std::chrono::milliseconds(100),
                                        std::chrono::seconds(8));
-        // What the VM does is learned late.
-        record_.AddOutOfReach(vm.name(), world_.now(),
-                              world_.now() + kLongPause);
-        world_.After(FaultLength(), [&vm] { vm.wire_delay = Duration(0); });
+        // Entries learn late what happens on the VM.
+        record_.AddUnreachable(vm.name(), world_.now(),
+                               world_.now() + kLongPause);
+        world_.After(FaultLength(), [&vm] { vm.link_delay = Duration(0); });
         return;
       }
       case SimFault::kEntryCutFromTable: {
         SimEntry& entry = TargetEntry();
-        entry.cut_from_table = true;
-        world_.After(FaultLength(), [&entry] { entry.cut_from_table = false; });
+        entry.table_blocked = true;
+        world_.After(FaultLength(), [&entry] { entry.table_blocked = false; });
         return;
       }
       case SimFault::kTableDown:
@@ -354,24 +354,24 @@
     }
   }
 
-  void Heal() {
+  void ClearFaults() {
     table_.faults() = {};
     for (const auto& entry : entries_) {
-      entry->cut_from_table = false;
+      entry->table_blocked = false;
       entry->process().Resume();
       if (!entry->process().alive()) entry->Start();
     }
     for (const auto& vm : vms_) {
       vm->process().Resume();
-      vm->wire_delay = Duration(0);
+      vm->link_delay = Duration(0);
       vm->worker().set_fails_every_task(false);
       if (!vm->lost() && !vm->process().alive()) vm->StartAgent();
     }
   }
 
-  void PlantTableDefects() {
-    if (options_.defect == SimDefect::kWritesUnconditional) {
-      table_.tamper = [this](Transaction* transaction) {
+  void InjectTableDefects() {
+    if (options_.defect == SimDefect::kUnconditionalWrites) {
+      table_.mutate_transaction = [this](Transaction* transaction) {
         transaction->checks.clear();
         for (RowWrite& write : transaction->writes) {
           const auto it = table_rows().find(write.key);
@@ -380,14 +380,14 @@
         }
       };
     }
-    if (options_.defect == SimDefect::kRosterNotKept ||
-        options_.defect == SimDefect::kWindowNotKept) {
-      table_.tamper = [this](Transaction* transaction) {
+    if (options_.defect == SimDefect::kRosterNotSaved ||
+        options_.defect == SimDefect::kWindowNotSaved) {
+      table_.mutate_transaction = [this](Transaction* transaction) {
         for (RowWrite& write : transaction->writes) {
           CellSnapshot snapshot;
           if (write.key != ProgressKey(kCell) || !write.value) continue;
           if (!IsOk(DecodeRow(*write.value, &snapshot))) continue;
-          if (options_.defect == SimDefect::kRosterNotKept) {
+          if (options_.defect == SimDefect::kRosterNotSaved) {
             snapshot.roster.clear();
           } else {
             for (RangeProgress& progress : snapshot.ranges) {
@@ -398,10 +398,10 @@
         }
       };
     }
-    table_.stale_answers = options_.defect == SimDefect::kConfirmationInvented;
+    table_.stale_reads = options_.defect == SimDefect::kConfirmedByStaleRead;
   }
 
-  void Observe() {
+  void TrackOwner() {
     bool owned = false;
     for (const auto& entry : entries_) {
       owned = owned || (entry->process().alive() &&
@@ -419,8 +419,7 @@
     for (const auto& vm : vms_) {
       vm->worker().Advance(world_.now());
       if (vm->worker().overcommitted()) {
-        report_.violations.push_back(vm->name() +
-                                     " was given more than it holds");
+        report_.violations.push_back(vm->name() + " was overcommitted");
       }
     }
     for (const std::string& violation : record_.Violations()) {
@@ -442,7 +441,7 @@
     return report_;
   }
 
-  // What the table says of each job against what the workers did.
+  // Compares the result of each job in the table with the workers' record.
   void CheckResults() {
     std::map<std::string, uint64_t> done;
     for (const WorkEvent& event : record_.events()) {
@@ -457,12 +456,12 @@
         report_.violations.push_back(job + " did not finish");
         continue;
       }
-      const bool all_accounted =
+      const bool all_counted =
           result.cancelled || result.done + result.failed == row.range.size();
-      if (!all_accounted || result.done > done[job]) {
+      if (!all_counted || result.done > done[job]) {
         report_.violations.push_back(
-            job + " is reported as " + std::to_string(result.done) +
-            " done, workers did " + std::to_string(done[job]));
+            job + " reports " + std::to_string(result.done) +
+            " tasks done, workers completed " + std::to_string(done[job]));
       }
     }
   }
@@ -475,8 +474,9 @@
   std::vector<std::unique_ptr<SimVm>> vms_;
   int vms_made_ = 0;
   std::map<std::string, RangeRow> jobs_;
-  std::map<std::string, TimePoint> lost_at_;
-  std::set<std::string> announced_;
+  // When the platform's list begins to show the loss of a VM.
+  std::map<std::string, TimePoint> gone_at_;
+  std::set<std::string> reported_;
   bool wrong_run_times_ = false;
   TimePoint owned_at_{std::chrono::hours(1)};
   SimReport report_;
@@ -488,7 +488,7 @@
   SimOptions options;
   options.seed = seed;
   CoordinationSim sim(options);
-  return sim.Takeover(fault);
+  return sim.RunTakeover(fault);
 }
 
 SimReport RunCoordinationSim(const SimOptions& options) {
--- a/beamhill/testing/coordination_sim.h
+++ b/beamhill/testing/coordination_sim.h
@@ -1,6 +1,6 @@
-// Entries, agents, workers and the table in virtual time, with faults from a
-// table and defects planted on purpose. The real CellHost, CellOwner and
-// AgentCore run; the workers' record is the judge.
+// Simulation of entries, agents, workers and the table in virtual time, with
+// injected faults and defects. It runs the real CellHost, CellOwner and
+// AgentCore, and checks the invariants against the workers' record.
 //
 //   SimOptions options;
 //   options.seed = 7;
@@ -17,11 +17,11 @@
 
 namespace beamhill {
 
-// One row for each thing that fails, by the brief's list.
+// Faults that the product must tolerate.
 enum class SimFault : uint8_t {
-  kLoadWave,
-  kWrongRunTimes,
-  kImpossibleJob,
+  kLoadWave,       // Several jobs at once.
+  kWrongRunTimes,  // Tasks run up to 7 times as long.
+  kImpossibleJob,  // Its tasks fit on no VM.
   kCancelWave,
   kFailingWorker,
   kEvictionWave,
@@ -42,22 +42,22 @@
 inline constexpr int kSimFaults = 19;
 const char* SimFaultName(SimFault fault);
 
-// Defects that the checks must catch.
+// Defects injected into the product that the checks must detect.
 enum class SimDefect : uint8_t {
   kNone,
   kEpochNotChecked,
   kSessionNotChecked,
-  kLeaseFromArrival,
+  kLeaseCountedFromArrival,
   kLeaseNeverEnds,
   kInventoryPartial,
-  kSettledBeforeDurable,
-  kUnconfirmedObeyed,
-  kRosterNotKept,
-  kWindowNotKept,
-  kWritesUnconditional,
-  kConfirmationInvented,
-  kEarlierAgentObeyed,
-  kLivingVmGone,
+  kAcknowledgedBeforeDurable,
+  kUnconfirmedAccepted,
+  kRosterNotSaved,
+  kWindowNotSaved,
+  kUnconditionalWrites,
+  kConfirmedByStaleRead,
+  kEarlierAgentAccepted,
+  kLiveVmReportedGone,
 };
 inline constexpr int kSimDefects = 14;
 const char* SimDefectName(SimDefect defect);
@@ -66,17 +66,20 @@
   uint64_t seed = 1;
   int entries = 3;
   int vms = 6;
-  // Faults are drawn from these while the run lasts.
+  // Faults to draw from; none are injected when empty.
   std::vector<SimFault> faults;
+  // Mean time between faults.
   Duration fault_interval = std::chrono::seconds(15);
+  // Time during which faults are injected.
   Duration length = std::chrono::seconds(150);
-  // Time without faults in which all work must finish.
-  Duration calm = std::chrono::seconds(1500);
+  // Time limit, after the last fault, for all jobs to finish.
+  Duration recovery = std::chrono::seconds(1500);
   SimDefect defect = SimDefect::kNone;
 };
 
-// Time from the loss of a cell's owner until the cell next starts a task, with
-// work waiting all along. The fault must befall an entry.
+// Returns the time from the loss of a cell's owner until its successor first
+// starts a task, with work waiting throughout; 2 minutes if none starts.
+// `fault` must be one that affects an entry.
 Duration MeasureTakeover(uint64_t seed, SimFault fault);
 
 struct SimReport {
@@ -88,10 +91,11 @@
   uint64_t row_writes = 0;
   uint64_t reads = 0;
   uint64_t takeovers = 0;
-  // Longest time without an owner that acts, seen while agents were up.
+  // Longest time without an active owner.
   Duration longest_ownerless{};
 };
 
+// Runs one simulation; the same options give the same report.
 SimReport RunCoordinationSim(const SimOptions& options);
 
 }  // namespace beamhill
--- a/beamhill/testing/coordination_test.cc
+++ b/beamhill/testing/coordination_test.cc
@@ -1,5 +1,6 @@
-// The promises of exclusive work under every fault of the brief: alone, in
-// pairs and twice in a row; and proof that the checks bite.
+// Checks that each task runs in one place at a time and is done once under
+// every fault: alone, twice in close succession, in pairs and all together; and
+// that the checks detect injected defects.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,7 +26,8 @@
   return faults;
 }
 
-uint64_t Expect(const SimOptions& options, const std::string& what) {
+uint64_t ExpectNoViolations(const SimOptions& options,
+                            const std::string& what) {
   const SimReport report = RunCoordinationSim(options);
   EXPECT_TRUE(report.violations.empty())
       << what << ", seed " << options.seed << ": " << report.violations.size()
@@ -40,7 +42,7 @@
     SimOptions options;
     options.seed = kSeed + static_cast<uint64_t>(fault);
     options.faults = {fault};
-    Expect(options, SimFaultName(fault));
+    ExpectNoViolations(options, SimFaultName(fault));
   }
 }
 
@@ -51,7 +53,8 @@
     options.faults = {fault};
     options.fault_interval = std::chrono::seconds(2);
     options.length = std::chrono::seconds(60);
-    Expect(options, std::string(SimFaultName(fault)) + " in close succession");
+    ExpectNoViolations(
+        options, std::string(SimFaultName(fault)) + " in close succession");
   }
 }
 
@@ -66,8 +69,8 @@
       options.faults = {first, second};
       options.fault_interval = std::chrono::seconds(6);
       options.length = std::chrono::seconds(60);
-      steps += Expect(options, std::string(SimFaultName(first)) + " and " +
-                                   SimFaultName(second));
+      steps += ExpectNoViolations(options, std::string(SimFaultName(first)) +
+                                               " and " + SimFaultName(second));
     }
   }
   std::cout << "steps: " << steps << "\n";
@@ -80,45 +83,45 @@
     options.seed = kSeed + 5000 + i;
     options.faults = AllFaults();
     options.fault_interval = std::chrono::seconds(5);
-    Expect(options, "all faults");
+    ExpectNoViolations(options, "all faults");
   }
 }
 
-// The faults that make each defect tell.
-struct DefectRow {
+// Faults under which a defect leads to a violation.
+struct DefectCase {
   SimDefect defect;
   std::vector<SimFault> faults;
 };
 
-std::vector<DefectRow> DefectTable() {
+std::vector<DefectCase> DefectCases() {
   using F = SimFault;
   return {
       {SimDefect::kEpochNotChecked,
        {F::kEntryPaused, F::kEntryCutFromTable, F::kLinkSlow, F::kLoadWave}},
       {SimDefect::kSessionNotChecked,
        {F::kLinkSlow, F::kLinkCut, F::kEvictionWave}},
-      {SimDefect::kLeaseFromArrival,
+      {SimDefect::kLeaseCountedFromArrival,
        {F::kLinkSlow, F::kLinkCut, F::kAgentPaused}},
       {SimDefect::kLeaseNeverEnds, {F::kAgentPaused, F::kLinkCut}},
       {SimDefect::kInventoryPartial, {F::kEntryKilled, F::kLinkCut}},
-      {SimDefect::kSettledBeforeDurable, {F::kEntryKilled, F::kTableDown}},
-      {SimDefect::kUnconfirmedObeyed,
+      {SimDefect::kAcknowledgedBeforeDurable, {F::kEntryKilled, F::kTableDown}},
+      {SimDefect::kUnconfirmedAccepted,
        {F::kEntryPaused, F::kEntryCutFromTable, F::kAgentKilled, F::kLoadWave}},
-      {SimDefect::kRosterNotKept, {F::kEntryKilled, F::kLinkCut}},
-      {SimDefect::kWindowNotKept, {F::kEntryKilled}},
-      {SimDefect::kWritesUnconditional,
+      {SimDefect::kRosterNotSaved, {F::kEntryKilled, F::kLinkCut}},
+      {SimDefect::kWindowNotSaved, {F::kEntryKilled}},
+      {SimDefect::kUnconditionalWrites,
        {F::kAnswersLost, F::kEntryPaused, F::kEntryCutFromTable}},
-      {SimDefect::kConfirmationInvented,
+      {SimDefect::kConfirmedByStaleRead,
        {F::kEntryCutFromTable, F::kEntryPaused, F::kLinkCut, F::kAgentKilled,
         F::kLoadWave}},
-      {SimDefect::kEarlierAgentObeyed, {F::kAgentKilled, F::kLoadWave}},
-      {SimDefect::kLivingVmGone, {F::kLoadWave}},
+      {SimDefect::kEarlierAgentAccepted, {F::kAgentKilled, F::kLoadWave}},
+      {SimDefect::kLiveVmReportedGone, {F::kLoadWave}},
   };
 }
 
 constexpr uint64_t kDefectSeeds = 60;
 
-SimOptions DefectOptions(const DefectRow& row, uint64_t i) {
+SimOptions DefectOptions(const DefectCase& row, uint64_t i) {
   SimOptions options;
   options.seed = kSeed + 9000 + i;
   options.faults = row.faults;
@@ -127,7 +130,7 @@
   return options;
 }
 
-// Seeds that found a fault in the product once.
+// Regression seeds: each reproduced a defect of the product.
 TEST(Coordination, HoldsOnSeedsThatFoundFaults) {
   struct Row {
     const char* fault;
@@ -138,23 +141,23 @@
   using F = SimFault;
   using Ms = std::chrono::milliseconds;
   const Row rows[] = {
-      {"a start's lost call took effect after a refusal",
+      {"a lost start call took effect after a refusal",
        20263517,
        {F::kLinkCut, F::kTableDown},
        Ms(6000)},
-      {"an answer to an earlier inventory request was taken",
+      {"an answer to an earlier inventory request was accepted",
        20270204,
        {F::kLinkSlow, F::kLinkCut, F::kAgentPaused},
        Ms(1500)},
-      {"a lost owner settled a restarted agent's result",
+      {"a lost owner acknowledged a restarted agent's result",
        20270258,
        {F::kEntryPaused, F::kEntryCutFromTable, F::kAgentKilled, F::kLoadWave},
        Ms(1500)},
-      {"an owner that woke took leases that its successor had renewed for "
-       "lapsed",
+      {"an owner resumed from a pause treated leases that its successor had "
+       "renewed as lapsed",
        426964, AllFaults(), Ms(6000)},
-      {"agents that linked while their owner might not act were never asked "
-       "what they hold",
+      {"agents that linked while their owner could not act were never asked "
+       "for their inventory",
        700000050, AllFaults(), Ms(6000)},
   };
   for (const Row& row : rows) {
@@ -163,12 +166,12 @@
     options.faults = row.faults;
     options.fault_interval = row.interval;
     options.length = std::chrono::seconds(60);
-    Expect(options, row.fault);
+    ExpectNoViolations(options, row.fault);
   }
 }
 
-// Urgent work must start within 6.1 s also when its cell's owner is lost at
-// that moment; every path of a takeover keeps under it, in virtual time.
+// Urgent work must start within 6.1 s even if its cell's owner is lost at that
+// moment, so every kind of takeover must complete within that, in virtual time.
 TEST(Takeover, EveryPathStartsTasksAgainWithinTheUrgentBound) {
   const std::pair<SimFault, const char*> paths[] = {
       {SimFault::kEntryKilled, "owner killed"},
@@ -181,15 +184,16 @@
       times.push_back(MeasureTakeover(kSeed + i, fault));
     }
     std::sort(times.begin(), times.end());
-    std::cout << name << ": median " << ToMillis(times[20]) << " ms, worst "
+    std::cout << name << ": median " << ToMillis(times[20]) << " ms, max "
               << ToMillis(times.back()) << " ms of 40\n";
     EXPECT_LT(times.back(), std::chrono::milliseconds(6100)) << name;
   }
 }
 
-// What ended on a VM between the death of its agent and its own was held
-// against the owner that ran it again.
-TEST(Coordination, NobodyLearnsFromAVmThatIsLostWhileItsAgentIsDown) {
+// Guards against a false violation: a task that ended on a VM after the agent
+// died and before the VM was lost may be run again, as no owner could learn of
+// its end. If the agent restarted in between, running it again is a violation.
+TEST(Coordination, RerunIsAllowedAfterVmIsLostWhileItsAgentIsDown) {
   for (const bool restarted : {false, true}) {
     SimWorld world(kSeed);
     WorkRecord record;
@@ -220,11 +224,11 @@
   }
 }
 
-// Each defect is found within a few seeds, and the very run that finds it
-// finds nothing without it.
-TEST(Coordination, ChecksCatchEachPlantedDefect) {
-  ASSERT_EQ(DefectTable().size(), kSimDefects - 1);
-  for (const DefectRow& row : DefectTable()) {
+// Each defect is detected within kDefectSeeds seeds, and the run that detects
+// it has no violation without the defect.
+TEST(Coordination, ChecksDetectEachInjectedDefect) {
+  ASSERT_EQ(DefectCases().size(), kSimDefects - 1);
+  for (const DefectCase& row : DefectCases()) {
     uint64_t seeds = 0;
     bool caught = false;
     SimOptions options;
@@ -234,9 +238,10 @@
       caught = !RunCoordinationSim(options).violations.empty();
     }
     options.defect = SimDefect::kNone;
-    Expect(options, std::string("without: ") + SimDefectName(row.defect));
+    ExpectNoViolations(options, std::string("without the defect: ") +
+                                    SimDefectName(row.defect));
     EXPECT_TRUE(caught) << SimDefectName(row.defect);
-    std::cout << SimDefectName(row.defect) << ": caught after " << seeds
+    std::cout << SimDefectName(row.defect) << ": detected after " << seeds
               << " seeds\n";
   }
 }
--- a/beamhill/testing/fake_platform_main.cc
+++ b/beamhill/testing/fake_platform_main.cc
@@ -1,8 +1,9 @@
-// beamhill-fake-platform: a stand-in for the platform, for tests and the demo.
+// beamhill-fake-platform: a fake platform, for tests and the demo.
+//   beamhill-fake-platform --listen 127.0.0.1:0 --vms 3
 //
-// Serves the table, the list of VMs and every worker over HTTP, enforces the
-// table's limits, takes faults by POST /faults and answers GET /record with
-// what the workers saw.
+// Serves the table, the list of VMs and all workers over HTTP, and enforces the
+// table's rate limits. POST /faults injects faults; GET /record returns what
+// the workers recorded.
 #include <tclap/CmdLine.h>
 
 #include <csignal>
@@ -30,7 +31,8 @@
 struct Faults {
   bool table_down = false;
   Duration table_delay{};
-  int lose_answers = 0;  // This many commits take effect unanswered.
+  int lose_answers = 0;  // Number of commits to apply without an answer.
+  // Time until the VM list shows a change.
   Duration list_lag = std::chrono::seconds(1);
 };
 
@@ -47,7 +49,7 @@
       : loop_(loop),
         run_scale_(run_scale),
         table_(kReadsPerSecond, kWritesPerSecond) {
-    ticker_ = loop_.Every(kAdvancePeriod, [this] {
+    advance_timer_ = loop_.Every(kAdvancePeriod, [this] {
       for (auto& [name, vm] : vms_) vm.worker->Advance(BootClock::now());
     });
   }
@@ -95,7 +97,7 @@
   void HandleTable(HttpExchange exchange, const std::string& path,
                    const Json& body) {
     if (faults_.table_down) {
-      held_.push_back(std::move(exchange));  // Never answered.
+      unanswered_.push_back(std::move(exchange));  // Never answered.
       return;
     }
     if (faults_.table_delay > Duration(0)) {
@@ -148,7 +150,7 @@
     const CommitAnswer answer = table_.Commit(transaction);
     if (faults_.lose_answers > 0) {
       --faults_.lose_answers;
-      held_.push_back(std::move(exchange));
+      unanswered_.push_back(std::move(exchange));
       return;
     }
     const bool ok = answer.result == CommitResult::kCommitted;
@@ -157,9 +159,9 @@
 
   Json ListVms() const {
     Json list = Json::array();
-    const TimePoint seen = BootClock::now() - faults_.list_lag;
+    const TimePoint shown_until = BootClock::now() - faults_.list_lag;
     for (const auto& [name, vm] : vms_) {
-      const bool change_shows = vm.changed_at <= seen;
+      const bool change_shows = vm.changed_at <= shown_until;
       if (vm.dead && change_shows) continue;
       list.push_back(
           {{"vm", name},
@@ -196,13 +198,13 @@
       return Reply(exchange, 404, Json::object());
     }
     if (it->second.dead) {
-      held_.push_back(std::move(exchange));
+      unanswered_.push_back(std::move(exchange));
       return;
     }
-    RunWorkerVerb(exchange, *it->second.worker, path.substr(verb_at), body);
+    RunWorkerCall(exchange, *it->second.worker, path.substr(verb_at), body);
   }
 
-  void RunWorkerVerb(HttpExchange& exchange, WorkerModel& worker,
+  void RunWorkerCall(HttpExchange& exchange, WorkerModel& worker,
                      const std::string& verb, const Json& body) {
     const TimePoint now = BootClock::now();
     const uint64_t agent = body.at("agent");
@@ -267,7 +269,7 @@
     for (const auto& [key, value] : body.items()) {
       if (key == "table_down") {
         faults_.table_down = value;
-        if (!faults_.table_down) held_.clear();
+        if (!faults_.table_down) unanswered_.clear();
       } else if (key == "table_delay_ms") {
         faults_.table_delay = std::chrono::milliseconds(value.get<int>());
       } else if (key == "lose_answers") {
@@ -277,11 +279,11 @@
       } else if (key == "kill_vm") {
         FakeVm& vm = vms_.at(value.get<std::string>());
         vm.worker->Kill(now);
-        record_.AddOutOfReach(value.get<std::string>(), now, TimePoint::max());
+        record_.AddUnreachable(value.get<std::string>(), now, TimePoint::max());
         vm.dead = true;
         vm.changed_at = now;
       } else if (key == "out_of_reach") {
-        record_.AddOutOfReach(value.get<std::string>(), now, TimePoint::max());
+        record_.AddUnreachable(value.get<std::string>(), now, TimePoint::max());
       } else if (key == "leave_vm") {
         vms_.at(value.get<std::string>()).leaving = true;
         vms_.at(value.get<std::string>()).changed_at = now;
@@ -325,22 +327,23 @@
   Faults faults_;
   WorkRecord record_;
   std::map<std::string, FakeVm> vms_;
-  std::vector<HttpExchange> held_;
+  // Requests left without an answer, kept so that their connections stay open.
+  std::vector<HttpExchange> unanswered_;
   std::map<uint64_t, Timer> delayed_;
   uint64_t next_delayed_ = 0;
-  Timer ticker_;
+  Timer advance_timer_;
 };
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine cmd("Stand-in for the platform, for tests and the demo.");
+  TCLAP::CmdLine cmd("Fake platform for tests and the demo.");
   TCLAP::ValueArg<std::string> listen("", "listen", "ip:port; port 0: any",
                                       false, "127.0.0.1:0", "address", cmd);
   TCLAP::ValueArg<int> vms("", "vms", "number of VMs, named vm-1 and up", false,
                            11, "count", cmd);
-  TCLAP::ValueArg<int> cpu("", "cpu-millis", "processors of each VM", false,
+  TCLAP::ValueArg<int> cpu("", "cpu-millis", "CPU capacity of each VM", false,
                            32000, "thousandths", cmd);
-  TCLAP::ValueArg<int> memory("", "memory-mib", "memory of each VM", false,
-                              125000, "MiB", cmd);
+  TCLAP::ValueArg<int> memory("", "memory-mib", "memory capacity of each VM",
+                              false, 125000, "MiB", cmd);
   TCLAP::ValueArg<double> scale("", "run-scale",
                                 "true run time over declared run time", false,
                                 1.0, "factor", cmd);
--- a/beamhill/testing/faulty_table.h
+++ b/beamhill/testing/faulty_table.h
@@ -1,11 +1,11 @@
-// A Table over the TableModel whose answers a test can lose, hold back or
-// refuse.
+// A Table backed by TableModel, with faults that a test injects: unavailable,
+// answers lost, commits applied late.
 //
 //   FaultyTable faulty;
 //   OwnershipKeeper keeper(options, faulty.AsTable(), hooks);
 //   faulty.set_fault(TableFault::kAnswerLost);
 //   keeper.Tick();
-//   faulty.Deliver();        // runs the callbacks that are due
+//   faulty.Deliver();  // runs the pending callbacks
 #ifndef BEAMHILL_TESTING_FAULTY_TABLE_H_
 #define BEAMHILL_TESTING_FAULTY_TABLE_H_
 
@@ -20,15 +20,16 @@
 
 enum class TableFault {
   kNone,
-  kDown,        // Nothing is done, and the caller knows.
-  kAnswerLost,  // Done, but the caller doesn't learn of it.
-  kLate,        // Not done yet; ApplyLateCommits does it. The caller learns nothing.
+  kDown,        // Calls are not applied, and the caller is told so.
+  kAnswerLost,  // Commits are applied, but answered as unknown.
+  kLate,        // Answered as unknown; applied by ApplyLateCommits.
 };
 
 class FaultyTable {
  public:
   void set_fault(TableFault fault) { fault_ = fault; }
-  void LoseNextCommitAnswer() { lose_next_ = true; }
+  // Applies kAnswerLost to the next commit only.
+  void LoseNextCommitAnswer() { lose_next_answer_ = true; }
   TableModel& model() { return model_; }
 
   Table AsTable() {
@@ -57,19 +58,19 @@
     return table;
   }
 
-  // Runs every callback that is due, and those that these make due.
+  // Runs all pending callbacks, including those that they add.
   void Deliver() {
-    while (!due_.empty()) {
-      const auto next = std::move(due_.front());
-      due_.pop_front();
+    while (!due_callbacks_.empty()) {
+      const auto next = std::move(due_callbacks_.front());
+      due_callbacks_.pop_front();
       next();
     }
   }
 
-  // The store now does what it was late with.
+  // Applies the commits held back under kLate, in order.
   std::vector<CommitResult> ApplyLateCommits() {
     std::vector<CommitResult> results;
-    for (const Transaction& transaction : std::exchange(late_, {})) {
+    for (const Transaction& transaction : std::exchange(late_commits_, {})) {
       results.push_back(model_.Commit(transaction).result);
     }
     return results;
@@ -77,12 +78,13 @@
 
  private:
   void Answer(std::function<void()> answer) {
-    due_.push_back(std::move(answer));
+    due_callbacks_.push_back(std::move(answer));
   }
 
   void Commit(Transaction transaction, CommitDone done) {
-    const TableFault fault =
-        std::exchange(lose_next_, false) ? TableFault::kAnswerLost : fault_;
+    const TableFault fault = std::exchange(lose_next_answer_, false)
+                                 ? TableFault::kAnswerLost
+                                 : fault_;
     switch (fault) {
       case TableFault::kNone: {
         const CommitAnswer answer = model_.Commit(transaction);
@@ -97,7 +99,7 @@
         Answer([done] { done({CommitResult::kUnknown, {}}); });
         return;
       case TableFault::kLate:
-        late_.push_back(std::move(transaction));
+        late_commits_.push_back(std::move(transaction));
         Answer([done] { done({CommitResult::kUnknown, {}}); });
         return;
     }
@@ -105,9 +107,9 @@
 
   TableModel model_{0, 0};
   TableFault fault_ = TableFault::kNone;
-  bool lose_next_ = false;
-  std::deque<std::function<void()>> due_;
-  std::vector<Transaction> late_;
+  bool lose_next_answer_ = false;
+  std::deque<std::function<void()>> due_callbacks_;
+  std::vector<Transaction> late_commits_;
 };
 
 }  // namespace beamhill
--- a/beamhill/testing/sim_nodes.cc
+++ b/beamhill/testing/sim_nodes.cc
@@ -7,21 +7,22 @@
 namespace {
 
 constexpr char kCell[] = "hall";
-// Short terms, so that faults outlast them often.
+// Short lease terms, so that many faults last longer than a lease.
 constexpr Duration kAgentTerm = std::chrono::seconds(10);
 constexpr Duration kOwnershipTerm = std::chrono::seconds(30);
 constexpr Duration kEntryTick = std::chrono::milliseconds(100);
 constexpr Duration kAgentTick = std::chrono::milliseconds(200);
 constexpr Duration kListPeriod = std::chrono::milliseconds(500);
-constexpr Duration kCallLost = std::chrono::seconds(3);
+constexpr Duration kMaxSlowCallDelay = std::chrono::seconds(3);
 
 Duration ShortDelay(SimWorld& world) {
   return world.Between(Duration(200), std::chrono::milliseconds(4));
 }
 
-// Messages on a wire arrive in order.
-TimePoint NextDelivery(SimWorld& world, Duration wire_delay, TimePoint* last) {
-  *last = std::max(*last, world.now() + ShortDelay(world) + wire_delay);
+// Returns the delivery time of the next message of a connection, which keeps
+// messages in order.
+TimePoint NextDelivery(SimWorld& world, Duration link_delay, TimePoint* last) {
+  *last = std::max(*last, world.now() + ShortDelay(world) + link_delay);
   return *last;
 }
 
@@ -40,7 +41,7 @@
   options.owner.ownership_term = kOwnershipTerm;
   options.owner.snapshot_interval = std::chrono::seconds(2);
   options.entry = name_;
-  options.incarnation = process_.run();
+  options.incarnation = process_.incarnation();
   CellHostHooks hooks;
   hooks.now = [this] { return process_.LocalNow(); };
   hooks.random = [this] { return world_.Uniform(); };
@@ -48,7 +49,7 @@
     return world_.Between(Duration(0), std::chrono::milliseconds(300));
   };
   host_ = std::make_unique<CellHost>(
-      options, table_.For(process_, &cut_from_table), std::move(hooks));
+      options, table_.For(process_, &table_blocked), std::move(hooks));
   process_.After(kEntryTick, [this] { Tick(); });
 }
 
@@ -149,46 +150,46 @@
 void SimVm::StartAgent() {
   if (lost_) return;
   process_.Start();
-  if (out_of_reach_since_) {
-    record_.AddOutOfReach(name_, *out_of_reach_since_, world_.now());
-    out_of_reach_since_.reset();
+  if (unreachable_since_) {
+    record_.AddUnreachable(name_, *unreachable_since_, world_.now());
+    unreachable_since_.reset();
   }
   AgentCoreOptions options;
   options.vm = name_;
   options.capacity = capacity_;
-  incarnation_ = process_.run() * 1000 + world_.Below(1000);
+  incarnation_ = process_.incarnation() * 1000 + world_.Below(1000);
   options.incarnation = incarnation_;
   options.checkpoint_lead = std::chrono::seconds(3);
   core_ = AgentCore::Create(options);
-  wires_.assign(entries_.size(), {});
-  listing_ = false;
+  links_.assign(entries_.size(), {});
+  list_in_flight_ = false;
   for (size_t i = 0; i < entries_.size(); ++i) Dial(i);
   ListWorker();
   process_.After(kAgentTick, [this] { Tick(); });
 }
 
 void SimVm::KillAgent() {
-  out_of_reach_since_ = world_.now();
+  unreachable_since_ = world_.now();
   process_.Kill();
   core_.reset();
-  for (size_t i = 0; i < wires_.size(); ++i) {
-    if (wires_[i].id == 0) continue;
-    entries_[i]->OnLinkDown(name_, wires_[i].id);
-    wires_[i] = {};
+  for (size_t i = 0; i < links_.size(); ++i) {
+    if (links_[i].id == 0) continue;
+    entries_[i]->OnLinkDown(name_, links_[i].id);
+    links_[i] = {};
   }
 }
 
 void SimVm::Lose() {
   lost_ = true;
   worker_.Kill(world_.now());
-  record_.AddOutOfReach(name_, out_of_reach_since_.value_or(world_.now()),
-                        TimePoint::max());
+  record_.AddUnreachable(name_, unreachable_since_.value_or(world_.now()),
+                         TimePoint::max());
   process_.Kill();
   core_.reset();
-  // Nobody closes a lost VM's connections; entries notice late.
-  for (size_t i = 0; i < wires_.size(); ++i) {
-    const uint64_t id = wires_[i].id;
-    wires_[i] = {};
+  // A lost VM closes no connections, so entries detect the loss late.
+  for (size_t i = 0; i < links_.size(); ++i) {
+    const uint64_t id = links_[i].id;
+    links_[i] = {};
     world_.After(
         world_.Between(std::chrono::seconds(1), std::chrono::seconds(20)),
         [this, i, id] { entries_[i]->OnLinkDown(name_, id); });
@@ -206,7 +207,7 @@
   process_.After(world_.Between(std::chrono::milliseconds(5),
                                 std::chrono::milliseconds(500)),
                  [this, entry] {
-                   if (wires_[entry].up) return;
+                   if (links_[entry].up) return;
                    if (!entries_[entry]->process().alive()) return Dial(entry);
                    Connected(entry);
                  });
@@ -214,50 +215,50 @@
 
 void SimVm::Connected(size_t entry) {
   static uint64_t next_id = 1;
-  wires_[entry] = {next_id++, true, {}, {}};
+  links_[entry] = {next_id++, true, {}, {}};
   Hello hello;
   hello.vm = name_;
   hello.cell = kCell;
   hello.capacity = capacity_;
   hello.session = core_->OnLinkUp(entries_[entry]->name());
-  const uint64_t id = wires_[entry].id;
-  world_.At(NextDelivery(world_, wire_delay, &wires_[entry].last_to_entry),
+  const uint64_t id = links_[entry].id;
+  world_.At(NextDelivery(world_, link_delay, &links_[entry].last_to_entry),
             [this, entry, id, hello] {
-              if (wires_[entry].id == id && wires_[entry].up) {
+              if (links_[entry].id == id && links_[entry].up) {
                 entries_[entry]->OnHello(this, id, hello);
               }
             });
 }
 
 void SimVm::SendToEntry(size_t entry, Message message) {
-  if (!wires_[entry].up) return;
-  const uint64_t id = wires_[entry].id;
+  if (!links_[entry].up) return;
+  const uint64_t id = links_[entry].id;
   if (defect_ == SimDefect::kInventoryPartial) {
     if (auto* inventory = std::get_if<Inventory>(&message)) {
       inventory->running.resize(inventory->running.size() / 2);
     }
   }
-  world_.At(NextDelivery(world_, wire_delay, &wires_[entry].last_to_entry),
+  world_.At(NextDelivery(world_, link_delay, &links_[entry].last_to_entry),
             [this, entry, id, m = std::move(message)] {
-              if (wires_[entry].id == id && wires_[entry].up) {
+              if (links_[entry].id == id && links_[entry].up) {
                 entries_[entry]->OnMessage(name_, id, m);
               }
             });
 }
 
-// The wire is dead at once; each end notices in its own time.
 void SimVm::CutLink(size_t entry) {
-  if (!wires_[entry].up) return;
-  const uint64_t id = wires_[entry].id;
-  wires_[entry].up = false;
-  record_.AddOutOfReach(name_, world_.now(),
-                        world_.now() + std::chrono::seconds(20));
+  if (!links_[entry].up) return;
+  const uint64_t id = links_[entry].id;
+  links_[entry].up = false;
+  record_.AddUnreachable(name_, world_.now(),
+                         world_.now() + std::chrono::seconds(20));
   world_.After(world_.Between(Duration(0), std::chrono::seconds(15)),
                [this, entry, id] { entries_[entry]->OnLinkDown(name_, id); });
-  DownSoon(entry, world_.Between(Duration(0), std::chrono::seconds(10)));
+  ScheduleLinkDown(entry,
+                   world_.Between(Duration(0), std::chrono::seconds(10)));
 }
 
-void SimVm::DownSoon(size_t entry, Duration delay) {
+void SimVm::ScheduleLinkDown(size_t entry, Duration delay) {
   process_.After(delay, [this, entry] {
     core_->OnLinkDown(entries_[entry]->name());
     Dial(entry);
@@ -266,31 +267,31 @@
 
 void SimVm::OnEntryClosed(const std::string& entry, uint64_t link) {
   const size_t i = EntryIndex(entry);
-  if (wires_.empty() || wires_[i].id != link || !wires_[i].up) return;
-  wires_[i].up = false;
+  if (links_.empty() || links_[i].id != link || !links_[i].up) return;
+  links_[i].up = false;
   const uint64_t id = link;
   world_.After(ShortDelay(world_),
                [this, i, id] { entries_[i]->OnLinkDown(name_, id); });
-  DownSoon(i, ShortDelay(world_));
+  ScheduleLinkDown(i, ShortDelay(world_));
 }
 
 void SimVm::SendFromEntry(const std::string& entry, uint64_t link,
                           Message message) {
-  if (wires_.empty()) return;
-  Wire& wire = wires_[EntryIndex(entry)];
-  world_.At(NextDelivery(world_, wire_delay, &wire.last_to_vm),
+  if (links_.empty()) return;
+  Connection& connection = links_[EntryIndex(entry)];
+  world_.At(NextDelivery(world_, link_delay, &connection.last_to_vm),
             [this, entry, link, m = std::move(message)] {
               OnMessage(entry, link, m);
             });
 }
 
-// Plants what an agent would do that lacked one of its checks.
-void SimVm::Tamper(std::string* entry, Message* message) {
+// Changes a message so that the agent acts as if it lacked one of its checks.
+void SimVm::InjectDefect(std::string* entry, Message* message) {
   if (auto* request = std::get_if<InventoryRequest>(message)) {
-    if (defect_ == SimDefect::kUnconfirmedObeyed) request->confirmed = true;
+    if (defect_ == SimDefect::kUnconfirmedAccepted) request->confirmed = true;
   }
   if (auto* grant = std::get_if<Grant>(message)) {
-    if (defect_ == SimDefect::kLeaseFromArrival) {
+    if (defect_ == SimDefect::kLeaseCountedFromArrival) {
       grant->echoed_stamp = process_.LocalNow();
     }
   }
@@ -306,12 +307,12 @@
 void SimVm::OnMessage(const std::string& entry, uint64_t link,
                       Message message) {
   const size_t i = EntryIndex(entry);
-  if (lost_ || wires_.empty()) return;
-  const bool current = wires_[i].id == link && wires_[i].up;
+  if (lost_ || links_.empty()) return;
+  const bool current = links_[i].id == link && links_[i].up;
   if (!current && defect_ != SimDefect::kSessionNotChecked) return;
   process_.Deliver([this, entry, m = std::move(message)]() mutable {
     std::string from = entry;
-    Tamper(&from, &m);
+    InjectDefect(&from, &m);
     core_->OnMessage(from, m, process_.LocalNow());
     Flush();
   });
@@ -328,7 +329,7 @@
     RunCommand(command);
   }
   for (EntryMessage& message : core_->TakeMessages()) {
-    if (defect_ == SimDefect::kSettledBeforeDurable) {
+    if (defect_ == SimDefect::kAcknowledgedBeforeDurable) {
       if (const auto* out = std::get_if<Outcomes>(&message.message)) {
         Settled settled{core_->current_fence(), {}};
         for (const TaskOutcome& outcome : out->outcomes) {
@@ -344,21 +345,21 @@
   }
 }
 
-// Calls reach the worker in order, also after the agent has died.
+// Calls reach the worker in order, even after the agent has died.
 void SimVm::RunCommand(const WorkerCommand& command) {
   const uint64_t agent = incarnation_;
   TimePoint lease_end =
       worker_clock_ + (command.lease_end - worker_clock_read_at_);
   if (defect_ == SimDefect::kLeaseNeverEnds) lease_end = TimePoint::max();
   const bool slow = world_.Chance(0.02);
-  last_command_ =
-      std::max(last_command_,
-               world_.now() + (slow ? world_.Between(Duration(0), kCallLost)
-                                    : ShortDelay(world_)));
-  world_.At(last_command_, [this, agent, command, lease_end] {
+  last_call_at_ = std::max(
+      last_call_at_,
+      world_.now() + (slow ? world_.Between(Duration(0), kMaxSlowCallDelay)
+                           : ShortDelay(world_)));
+  world_.At(last_call_at_, [this, agent, command, lease_end] {
     const TimePoint now = world_.now();
     worker_.Advance(now);
-    if (defect_ == SimDefect::kEarlierAgentObeyed) worker_.Attach(agent);
+    if (defect_ == SimDefect::kEarlierAgentAccepted) worker_.Attach(agent);
     std::string reason;
     WorkerStartAnswer answer = WorkerStartAnswer::kUnknown;
     switch (command.kind) {
@@ -392,18 +393,18 @@
 
 void SimVm::ListWorker() {
   process_.After(kListPeriod, [this] { ListWorker(); });
-  if (listing_) return;
-  listing_ = true;
+  if (list_in_flight_) return;
+  list_in_flight_ = true;
   const TimePoint sent_at = process_.LocalNow();
-  const uint64_t run = process_.run();
-  world_.After(ShortDelay(world_), [this, sent_at, run] {
-    if (process_.run() != run || lost_) return;
+  const uint64_t incarnation = process_.incarnation();
+  world_.After(ShortDelay(world_), [this, sent_at, incarnation] {
+    if (process_.incarnation() != incarnation || lost_) return;
     worker_.Attach(incarnation_);
     worker_.Advance(world_.now());
     const auto list = worker_.List();
     const TimePoint clock = world_.now();
     process_.After(ShortDelay(world_), [this, list, clock, sent_at] {
-      listing_ = false;
+      list_in_flight_ = false;
       worker_clock_ = clock;
       worker_clock_read_at_ = process_.LocalNow();
       core_->OnWorkerList(list, sent_at);
--- a/beamhill/testing/sim_nodes.h
+++ b/beamhill/testing/sim_nodes.h
@@ -1,5 +1,10 @@
-// The nodes of the coordination simulation: entries and VMs, and the links
+// Nodes of the coordination simulation: entries and VMs, and the connections
 // between them.
+//
+//   std::vector<std::unique_ptr<SimEntry>> entries;
+//   entries.push_back(std::make_unique<SimEntry>(world, table, "entry-1"));
+//   SimVm vm(world, record, "vm-1", capacity, entries, SimDefect::kNone);
+//   entries[0]->Kill();
 #ifndef BEAMHILL_TESTING_SIM_NODES_H_
 #define BEAMHILL_TESTING_SIM_NODES_H_
 
@@ -21,25 +26,27 @@
 
 class SimVm;
 
+// An entry process that runs the real CellHost.
 class SimEntry {
  public:
   SimEntry(SimWorld& world, SimTable& table, std::string name);
 
   void Start();
   void Kill();
-  // As Kill, after giving up its cells.
+  // Releases its cells, then kills the process 1 s later.
   void Release();
 
   void OnHello(SimVm* vm, uint64_t link, const Hello& hello);
   void OnMessage(const std::string& vm, uint64_t link, const Message& message);
   void OnLinkDown(const std::string& vm, uint64_t link);
   void OnVmGone(const std::string& vm);
+  // Evicts the task if this entry owns the cell.
   void Evict(const TaskId& task);
 
   SimProcess& process() { return process_; }
   CellHost* host() { return host_.get(); }
   const std::string& name() const { return name_; }
-  bool cut_from_table = false;
+  bool table_blocked = false;
   uint64_t takeovers = 0;
 
  private:
@@ -59,6 +66,7 @@
   std::map<std::string, Peer> peers_;
 };
 
+// A VM with a worker and an agent process that runs the real AgentCore.
 class SimVm {
  public:
   SimVm(SimWorld& world, WorkRecord& record, std::string name,
@@ -67,11 +75,11 @@
 
   void StartAgent();
   void KillAgent();
-  // The VM with all on it.
+  // Fails the VM for good, with its agent, worker and tasks.
   void Lose();
-  // Both ends notice after a while.
+  // Breaks the connection; each end detects it after a random delay.
   void CutLink(size_t entry);
-  // The entry's end closes, or its process died.
+  // Handles a connection closed by the entry or by the death of its process.
   void OnEntryClosed(const std::string& entry, uint64_t link);
   // Carries a message of the entry over the wire.
   void SendFromEntry(const std::string& entry, uint64_t link, Message message);
@@ -81,11 +89,11 @@
   const std::string& name() const { return name_; }
   const Resources& capacity() const { return capacity_; }
   bool lost() const { return lost_; }
-  // Added to each message, both ways.
-  Duration wire_delay{};
+  // Added to the delay of each message, in both directions.
+  Duration link_delay{};
 
  private:
-  struct Wire {
+  struct Connection {
     uint64_t id = 0;
     bool up = false;
     TimePoint last_to_entry{};
@@ -94,14 +102,14 @@
   void OnMessage(const std::string& entry, uint64_t link, Message message);
   void Dial(size_t entry);
   void Connected(size_t entry);
-  void DownSoon(size_t entry, Duration delay);
+  void ScheduleLinkDown(size_t entry, Duration delay);
   void Tick();
   void Flush();
   void ListWorker();
   void RunCommand(const WorkerCommand& command);
   void SendToEntry(size_t entry, Message message);
   size_t EntryIndex(const std::string& name) const;
-  void Tamper(std::string* entry, Message* message);
+  void InjectDefect(std::string* entry, Message* message);
 
   SimWorld& world_;
   WorkRecord& record_;
@@ -113,14 +121,14 @@
   WorkerModel worker_;
   std::unique_ptr<AgentCore> core_;
   uint64_t incarnation_ = 0;
-  std::vector<Wire> wires_;
+  std::vector<Connection> links_;
   bool lost_ = false;
-  bool listing_ = false;
-  std::optional<TimePoint> out_of_reach_since_;
-  // The worker's clock, which is the world's, as last read.
+  bool list_in_flight_ = false;
+  std::optional<TimePoint> unreachable_since_;
+  // Last reading of the worker's clock, which is the unskewed virtual clock.
   TimePoint worker_clock_{};
   TimePoint worker_clock_read_at_{};
-  TimePoint last_command_{};
+  TimePoint last_call_at_{};
 };
 
 }  // namespace beamhill
--- a/beamhill/testing/sim_world.cc
+++ b/beamhill/testing/sim_world.cc
@@ -5,11 +5,11 @@
 namespace beamhill {
 namespace {
 
-// Clocks differ by less than the product's stated bound of 2 per thousand.
+// Any two clocks drift apart by less than the specified 2 per thousand.
 constexpr int64_t kMaxClockRatePpm = 800;
 constexpr Duration kTableTimeout = std::chrono::seconds(2);
 
-std::string Joined(const std::vector<std::string>& keys) {
+std::string JoinKeys(const std::vector<std::string>& keys) {
   std::string all;
   for (const std::string& key : keys) all += key + " ";
   return all;
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-void SimWorld::At(TimePoint at, std::function<void()> run) {
-  events_.push({std::max(at, now_), next_order_++, std::move(run)});
+void SimWorld::At(TimePoint at, std::function<void()> callback) {
+  events_.push({std::max(at, now_), next_order_++, std::move(callback)});
 }
 
 bool SimWorld::Step(TimePoint end) {
@@ -31,7 +31,7 @@
   events_.pop();
   now_ = event.at;
   ++steps_;
-  event.run();
+  event.callback();
   return true;
 }
 
@@ -51,32 +51,37 @@
   return TimePoint(clock_offset_ + t + t * clock_rate_ppm_ / 1'000'000);
 }
 
-void SimProcess::RunOrKeep(uint64_t run, const std::function<void()>& work) {
-  if (!alive_ || run != run_) return;
+void SimProcess::RunOrDefer(uint64_t incarnation,
+                            const std::function<void()>& work) {
+  if (!alive_ || incarnation != incarnation_) return;
   if (paused_) {
-    backlog_.push_back([this, run, work] { RunOrKeep(run, work); });
+    deferred_.push_back(
+        [this, incarnation, work] { RunOrDefer(incarnation, work); });
     return;
   }
   work();
 }
 
 void SimProcess::After(Duration delay, std::function<void()> work) {
-  world_.After(delay, [this, run = run_, work = std::move(work)] {
-    RunOrKeep(run, work);
-  });
+  world_.After(delay,
+               [this, incarnation = incarnation_, work = std::move(work)] {
+                 RunOrDefer(incarnation, work);
+               });
 }
 
-void SimProcess::Deliver(std::function<void()> work) { RunOrKeep(run_, work); }
+void SimProcess::Deliver(std::function<void()> work) {
+  RunOrDefer(incarnation_, work);
+}
 
 void SimProcess::Kill() {
   alive_ = false;
   paused_ = false;
-  backlog_.clear();
+  deferred_.clear();
 }
 
 void SimProcess::Start() {
   alive_ = true;
-  ++run_;
+  ++incarnation_;
 }
 
 void SimProcess::Pause() { paused_ = true; }
@@ -84,7 +89,7 @@
 void SimProcess::Resume() {
   if (!paused_) return;
   paused_ = false;
-  const auto backlog = std::exchange(backlog_, {});
+  const auto backlog = std::exchange(deferred_, {});
   for (const auto& work : backlog) work();
 }
 
@@ -94,90 +99,94 @@
          faults_.delay;
 }
 
-Table SimTable::For(SimProcess& process, const bool* cut) {
+Table SimTable::For(SimProcess& process, const bool* unreachable) {
   Table table;
   SimProcess* p = &process;
-  table.read = [this, p, cut](const std::vector<std::string>& keys,
-                              ReadAnswer done) {
+  table.read = [this, p, unreachable](const std::vector<std::string>& keys,
+                                      ReadAnswer done) {
     Read(
-        *p, cut, Joined(keys), [this, keys] { return model_.Read(keys); },
-        std::move(done));
+        *p, unreachable, JoinKeys(keys),
+        [this, keys] { return model_.Read(keys); }, std::move(done));
   };
-  table.scan = [this, p, cut](const std::string& prefix, ReadAnswer done) {
+  table.scan = [this, p, unreachable](const std::string& prefix,
+                                      ReadAnswer done) {
     Read(
-        *p, cut, prefix, [this, prefix] { return model_.Scan(prefix); },
+        *p, unreachable, prefix, [this, prefix] { return model_.Scan(prefix); },
         std::move(done));
   };
-  table.commit = [this, p, cut](Transaction transaction, CommitDone done) {
-    Commit(*p, cut, std::move(transaction), std::move(done));
+  table.commit = [this, p, unreachable](Transaction transaction,
+                                        CommitDone done) {
+    Commit(*p, unreachable, std::move(transaction), std::move(done));
   };
   return table;
 }
 
-void SimTable::Read(SimProcess& process, const bool* cut,
+void SimTable::Read(SimProcess& process, const bool* unreachable,
                     const std::string& name,
                     std::function<std::vector<Row>()> read, ReadAnswer done) {
-  const uint64_t run = process.run();
+  const uint64_t incarnation = process.incarnation();
   SimProcess* p = &process;
-  const auto answer = [p, run, done](const Result<std::vector<Row>>& rows) {
-    if (p->run() != run) return;
+  const auto reply = [p, incarnation,
+                      done](const Result<std::vector<Row>>& rows) {
+    if (p->incarnation() != incarnation) return;
     p->Deliver([done, rows] { done(rows); });
   };
   const auto source = std::make_pair(p, name);
-  const Duration there = Latency();
-  if (faults_.down || *cut || there > kTableTimeout) {
-    world_.After(kTableTimeout, [this, answer, source] {
-      const auto last = last_good_.find(source);
-      if (stale_answers && last != last_good_.end()) {
-        return answer(last->second);
+  const Duration request_delay = Latency();
+  if (faults_.down || *unreachable || request_delay > kTableTimeout) {
+    world_.After(kTableTimeout, [this, reply, source] {
+      const auto last = last_good_reads_.find(source);
+      if (stale_reads && last != last_good_reads_.end()) {
+        return reply(last->second);
       }
-      answer(TableUnavailable());
+      reply(TableUnavailable());
     });
     return;
   }
-  const Duration back = Latency();
-  world_.After(there, [this, read, answer, back, source] {
+  const Duration answer_delay = Latency();
+  world_.After(request_delay, [this, read, reply, answer_delay, source] {
     const std::vector<Row> rows = read();
-    if (stale_answers) last_good_[source] = rows;
-    world_.After(back, [answer, rows] { answer(rows); });
+    if (stale_reads) last_good_reads_[source] = rows;
+    world_.After(answer_delay, [reply, rows] { reply(rows); });
   });
 }
 
 CommitAnswer SimTable::Apply(Transaction transaction) {
-  if (tamper) tamper(&transaction);
+  if (mutate_transaction) mutate_transaction(&transaction);
   return model_.Commit(transaction);
 }
 
-void SimTable::Commit(SimProcess& process, const bool* cut,
+void SimTable::Commit(SimProcess& process, const bool* unreachable,
                       Transaction transaction, CommitDone done) {
-  const uint64_t run = process.run();
+  const uint64_t incarnation = process.incarnation();
   SimProcess* p = &process;
-  const auto answer = [p, run, done](const CommitAnswer& result) {
-    if (p->run() != run) return;
+  const auto reply = [p, incarnation, done](const CommitAnswer& result) {
+    if (p->incarnation() != incarnation) return;
     p->Deliver([done, result] { done(result); });
   };
   const CommitAnswer unknown{CommitResult::kUnknown, {}};
-  if (faults_.down || *cut) {
+  if (faults_.down || *unreachable) {
     const bool refused = world_.Chance(0.3);
-    world_.After(kTableTimeout, [answer, refused, unknown] {
-      answer(refused ? CommitAnswer{CommitResult::kNotApplied, {}} : unknown);
+    world_.After(kTableTimeout, [reply, refused, unknown] {
+      reply(refused ? CommitAnswer{CommitResult::kNotApplied, {}} : unknown);
     });
     return;
   }
-  const Duration there = Latency();
-  const Duration back = Latency();
-  const bool lost =
-      world_.Chance(faults_.lose_answer) || there + back > kTableTimeout;
+  const Duration request_delay = Latency();
+  const Duration answer_delay = Latency();
+  const bool lost = world_.Chance(faults_.lose_answer) ||
+                    request_delay + answer_delay > kTableTimeout;
   const bool late = lost && world_.Chance(faults_.apply_late);
   const Duration apply_after =
-      late ? there + world_.Between(Duration(0), std::chrono::seconds(6))
-           : there;
+      late
+          ? request_delay + world_.Between(Duration(0), std::chrono::seconds(6))
+          : request_delay;
   if (lost) {
-    world_.After(kTableTimeout, [answer, unknown] { answer(unknown); });
+    world_.After(kTableTimeout, [reply, unknown] { reply(unknown); });
   }
-  world_.After(apply_after, [this, transaction, answer, back, lost] {
+  world_.After(apply_after, [this, transaction, reply, answer_delay, lost] {
     const CommitAnswer result = Apply(transaction);
-    if (!lost) world_.After(back, [answer, result] { answer(result); });
+    if (!lost) world_.After(answer_delay, [reply, result] { reply(result); });
   });
 }
 
--- a/beamhill/testing/sim_world.h
+++ b/beamhill/testing/sim_world.h
@@ -1,11 +1,11 @@
-// Virtual time for coordination tests: events in order, processes with skewed
-// clocks that can be paused, killed and started anew, and the platform's table
-// with its faults.
+// Discrete-event simulation for coordination tests: a virtual clock with an
+// event queue, processes with skewed clocks that can be paused, killed and
+// restarted, and the platform's table with injected faults.
 //
 //   SimWorld world(/*seed=*/7);
 //   SimProcess process(world);
-//   process.After(delay, [] { ... });   // dropped if it dies, late if paused
-//   while (world.Step()) {}
+//   process.After(delay, [] { ... });  // dropped on death, deferred by a pause
+//   while (world.Step(end)) {}
 #ifndef BEAMHILL_TESTING_SIM_WORLD_H_
 #define BEAMHILL_TESTING_SIM_WORLD_H_
 
@@ -25,19 +25,22 @@
 
 namespace beamhill {
 
+// Virtual clock, event queue and seeded random source of one simulation.
 class SimWorld {
  public:
   explicit SimWorld(uint64_t seed) : random_(seed) {}
 
   TimePoint now() const { return now_; }
   uint64_t steps() const { return steps_; }
-  void At(TimePoint at, std::function<void()> run);
-  void After(Duration delay, std::function<void()> run) {
-    At(now_ + delay, std::move(run));
+  // Schedules `callback`; a time in the past means now.
+  void At(TimePoint at, std::function<void()> callback);
+  void After(Duration delay, std::function<void()> callback) {
+    At(now_ + delay, std::move(callback));
   }
-  // Runs the next event. False when there is none before `end`.
+  // Runs the next event. Returns false when none is due by `end`.
   bool Step(TimePoint end);
 
+  // Random draws: from [0, 1), [low, high) and [0, n), and a Bernoulli trial.
   double Uniform() {
     return std::uniform_real_distribution<double>(0, 1)(random_);
   }
@@ -45,13 +48,13 @@
   size_t Below(size_t n) {
     return static_cast<size_t>(Uniform() * static_cast<double>(n));
   }
-  bool Chance(double share) { return Uniform() < share; }
+  bool Chance(double probability) { return Uniform() < probability; }
 
  private:
   struct Event {
     TimePoint at;
     uint64_t order;
-    std::function<void()> run;
+    std::function<void()> callback;
     bool operator>(const Event& o) const {
       return at != o.at ? at > o.at : order > o.order;
     }
@@ -64,20 +67,21 @@
   std::mt19937_64 random_;
 };
 
+// A process whose clock has a random offset and rate error.
 class SimProcess {
  public:
   explicit SimProcess(SimWorld& world);
 
-  // The process's own clock.
+  // Reads the process's own, skewed clock.
   TimePoint LocalNow() const;
   bool alive() const { return alive_; }
   bool paused() const { return paused_; }
-  uint64_t run() const { return run_; }
+  uint64_t incarnation() const { return incarnation_; }
 
-  // Runs in this run of the process only: dropped when it has died since, put
-  // off while it is paused.
+  // Runs `work` in the current incarnation after `delay`: drops it if the
+  // process has died since, and defers it while the process is paused.
   void After(Duration delay, std::function<void()> work);
-  // As After, at once if the process is up.
+  // Like After, without a delay.
   void Deliver(std::function<void()> work);
 
   void Kill();
@@ -86,50 +90,54 @@
   void Resume();
 
  private:
-  void RunOrKeep(uint64_t run, const std::function<void()>& work);
+  void RunOrDefer(uint64_t incarnation, const std::function<void()>& work);
 
   SimWorld& world_;
   int64_t clock_rate_ppm_;
   Duration clock_offset_;
   bool alive_ = true;
   bool paused_ = false;
-  uint64_t run_ = 1;
-  std::vector<std::function<void()>> backlog_;
+  uint64_t incarnation_ = 1;
+  std::vector<std::function<void()>> deferred_;
 };
 
 struct SimTableFaults {
   bool down = false;
-  Duration delay{};        // Added to each call.
-  double lose_answer = 0;  // Share of commits that are not answered.
-  double apply_late = 0;   // Of those, the share that takes effect later.
+  Duration delay{};        // Added to each call in each direction.
+  double lose_answer = 0;  // Share of commits that get no answer.
+  double apply_late = 0;   // Share of those that is applied later.
 };
 
+// The platform's table behind a network with latency and faults.
 class SimTable {
  public:
   explicit SimTable(SimWorld& world) : world_(world), model_(0, 0) {}
 
-  // The table as that process reaches it; `cut` tells whether it can't.
-  Table For(SimProcess& process, const bool* cut);
+  // Returns the table for `process`. Its calls fail after a timeout while
+  // `*unreachable` is set.
+  Table For(SimProcess& process, const bool* unreachable);
 
   TableModel& model() { return model_; }
   SimTableFaults& faults() { return faults_; }
-  // Changes a transaction before it takes effect, to plant a defect.
-  std::function<void(Transaction*)> tamper;
-  // A defect: a failed read is answered as that process's last good one.
-  bool stale_answers = false;
+  // Changes a transaction before it is applied, to inject a defect.
+  std::function<void(Transaction*)> mutate_transaction;
+  // Injects a defect: a failed read returns the process's last good result.
+  bool stale_reads = false;
 
  private:
-  void Read(SimProcess& process, const bool* cut, const std::string& name,
-            std::function<std::vector<Row>()> read, ReadAnswer done);
-  void Commit(SimProcess& process, const bool* cut, Transaction transaction,
-              CommitDone done);
+  void Read(SimProcess& process, const bool* unreachable,
+            const std::string& name, std::function<std::vector<Row>()> read,
+            ReadAnswer done);
+  void Commit(SimProcess& process, const bool* unreachable,
+              Transaction transaction, CommitDone done);
   CommitAnswer Apply(Transaction transaction);
   Duration Latency();
 
   SimWorld& world_;
   TableModel model_;
   SimTableFaults faults_;
-  std::map<std::pair<SimProcess*, std::string>, std::vector<Row>> last_good_;
+  std::map<std::pair<SimProcess*, std::string>, std::vector<Row>>
+      last_good_reads_;
 };
 
 }  // namespace beamhill
--- a/beamhill/testing/slope_cell.h
+++ b/beamhill/testing/slope_cell.h
@@ -1,8 +1,9 @@
-// One cell, its owner and its agents, joined by encoded frames in virtual
-// time: what the slopes of docs/CAPACITY.md are measured on.
+// One cell with its owner and agents, connected by encoded frames in virtual
+// time. It measures the costs per agent and per start that docs/CAPACITY.md
+// lists as slopes.
 //
 //   SlopeCell cell(300);
-//   Tally idle = cell.Idle();
+//   UsageTotals idle = cell.MeasureIdle();
 #ifndef BEAMHILL_TESTING_SLOPE_CELL_H_
 #define BEAMHILL_TESTING_SLOPE_CELL_H_
 
@@ -23,16 +24,16 @@
 
 namespace beamhill {
 
-inline constexpr Duration kTick = std::chrono::milliseconds(100);
+inline constexpr Duration kStepLength = std::chrono::milliseconds(100);
 inline constexpr int kIdleSeconds = 60;
 inline constexpr int kLoadSeconds = 20;
 inline constexpr int kStartsPerAgentSecond = 10;
-inline constexpr Duration kTaskRun = std::chrono::seconds(1);
-// WebSocket and TCP/IP headers of one small frame, and of its acknowledgement
-// when nothing else goes back in time.
+inline constexpr Duration kTaskRunTime = std::chrono::seconds(1);
+// Bytes of the WebSocket and TCP/IP headers of a small frame, and of its
+// acknowledgement when no data goes back in time to carry it.
 inline constexpr uint64_t kFrameOverhead = 8 + 40;
 
-// Processor time of this thread.
+// Returns the processor time of this thread, in seconds.
 inline double CpuSeconds() {
   timespec ts{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &ts);
@@ -41,15 +42,14 @@
 
 inline size_t HeapBytes() { return mallinfo2().uordblks; }
 
-// What a stretch of virtual time cost.
-struct Tally {
+// Traffic and processor time used over a period of virtual time.
+struct UsageTotals {
   uint64_t messages = 0;
   uint64_t bytes = 0;
-  double owner_cpu = 0;
-  double agent_cpu = 0;
+  double owner_cpu = 0;  // Seconds.
+  double agent_cpu = 0;  // Seconds, over all agents.
 };
 
-// One cell: an owner and its agents, joined by encoded frames.
 class SlopeCell {
  public:
   explicit SlopeCell(int agents) {
@@ -79,41 +79,42 @@
       index_[node.name] = static_cast<size_t>(i);
     }
     Advance(3);
-    owner_bytes_idle_ = HeapBytes() - before;
+    idle_heap_bytes_ = HeapBytes() - before;
   }
 
-  Tally Idle() {
-    tally_ = {};
+  // Measures kIdleSeconds without work.
+  UsageTotals MeasureIdle() {
+    totals_ = {};
     Advance(kIdleSeconds);
-    return tally_;
+    return totals_;
   }
 
-  // Returns the tally of a steady load and counts its starts.
-  Tally Load(uint64_t* starts) {
+  // Measures kLoadSeconds of steady load. Sets `starts` to the tasks started.
+  UsageTotals MeasureLoad(uint64_t* starts) {
     RangeRow row;
     row.job.id = "j-01234567-89ab-cdef-0123-456789abcdef";
     row.job.team = "team";
     row.job.work_class = "class";
     row.job.each = {100, 100, 0};
     row.job.tasks = 100'000'000;
-    row.job.declared_run = kTaskRun;
+    row.job.declared_run = kTaskRunTime;
     row.range = {0, row.job.tasks};
     row.initial_window = row.job.tasks;
     owner_->OnRange(row);
     Advance(3);
-    tally_ = {};
+    totals_ = {};
     const uint64_t before = owner_->counts().starts;
     Advance(kLoadSeconds);
     *starts = owner_->counts().starts - before;
-    return tally_;
+    return totals_;
   }
 
   uint64_t snapshots() const { return snapshots_; }
   uint64_t snapshot_bytes() const { return snapshot_bytes_; }
-  size_t owner_and_agents_bytes() const { return owner_bytes_idle_; }
+  size_t idle_heap_bytes() const { return idle_heap_bytes_; }
 
  private:
-  // Holds kStartsPerAgentSecond tasks of 100 millis that run a second each.
+  // Fits kStartsPerAgentSecond tasks of 100 CPU millis that run 1 s each.
   static constexpr Resources kVm{100 * kStartsPerAgentSecond, 1'000'000, 0};
 
   struct Node {
@@ -122,19 +123,20 @@
     std::unique_ptr<WorkerModel> worker;
   };
 
-  template <typename Work>
-  static void Timed(double* sum, Work work) {
-    const double began = CpuSeconds();
+  template <typename Callback>
+  // Runs `work` and adds its processor time to `sum`.
+  static void AddCpuTime(double* sum, Callback work) {
+    const double start_cpu = CpuSeconds();
     work();
-    *sum += CpuSeconds() - began;
+    *sum += CpuSeconds() - start_cpu;
   }
 
   void Advance(int seconds) {
     const TimePoint end = now_ + std::chrono::seconds(seconds);
     while (now_ < end) {
-      now_ += kTick;
-      Timed(&tally_.owner_cpu, [this] { TickOwner(); });
-      CarryToAgents();
+      now_ += kStepLength;
+      AddCpuTime(&totals_.owner_cpu, [this] { TickOwner(); });
+      DeliverToAgents();
       for (Node& node : nodes_) TickAgent(node);
     }
   }
@@ -149,36 +151,36 @@
     }
   }
 
-  void CarryToAgents() {
+  void DeliverToAgents() {
     std::vector<std::pair<std::string, std::string>> frames;
-    Timed(&tally_.owner_cpu, [&] {
+    AddCpuTime(&totals_.owner_cpu, [&] {
       for (const AgentMessage& message : owner_->TakeMessages()) {
         frames.emplace_back(message.vm, Encode(message.message));
       }
     });
     for (const auto& addressed : frames) {
       const std::string& frame = addressed.second;
-      Count(frame);
+      CountFrame(frame);
       Node& node = nodes_[index_.at(addressed.first)];
-      Timed(&tally_.agent_cpu, [&] {
+      AddCpuTime(&totals_.agent_cpu, [&] {
         const Result<Message> message = Decode(frame);
         node.core->OnMessage("e", ValueOf(message), now_);
       });
-      CarryToOwner(node);
+      DeliverToOwner(node);
     }
   }
 
-  void CarryToOwner(Node& node) {
+  void DeliverToOwner(Node& node) {
     RunCommands(node);
     std::vector<std::string> frames;
-    Timed(&tally_.agent_cpu, [&] {
+    AddCpuTime(&totals_.agent_cpu, [&] {
       for (const EntryMessage& message : node.core->TakeMessages()) {
         frames.push_back(Encode(message.message));
       }
     });
     for (const std::string& frame : frames) {
-      Count(frame);
-      Timed(&tally_.owner_cpu, [&] { Receive(node.name, frame); });
+      CountFrame(frame);
+      AddCpuTime(&totals_.owner_cpu, [&] { Receive(node.name, frame); });
     }
   }
 
@@ -197,11 +199,11 @@
   void TickAgent(Node& node) {
     node.worker->Advance(now_);
     const std::vector<WorkerTask> list = node.worker->List();
-    Timed(&tally_.agent_cpu, [&] {
+    AddCpuTime(&totals_.agent_cpu, [&] {
       node.core->OnWorkerList(list, now_);
       node.core->Tick(now_);
     });
-    CarryToOwner(node);
+    DeliverToOwner(node);
   }
 
   void RunCommands(Node& node) {
@@ -232,9 +234,9 @@
     }
   }
 
-  void Count(const std::string& frame) {
-    ++tally_.messages;
-    tally_.bytes += frame.size() + kFrameOverhead;
+  void CountFrame(const std::string& frame) {
+    ++totals_.messages;
+    totals_.bytes += frame.size() + kFrameOverhead;
   }
 
   TimePoint now_{std::chrono::hours(1)};
@@ -242,10 +244,10 @@
   std::unique_ptr<CellOwner> owner_;
   std::vector<Node> nodes_;
   std::map<std::string, size_t> index_;
-  Tally tally_;
+  UsageTotals totals_;
   uint64_t snapshots_ = 0;
   uint64_t snapshot_bytes_ = 0;
-  size_t owner_bytes_idle_ = 0;
+  size_t idle_heap_bytes_ = 0;
 };
 
 }  // namespace beamhill
--- a/beamhill/testing/slopes_main.cc
+++ b/beamhill/testing/slopes_main.cc
@@ -1,8 +1,8 @@
-// beamhill-slopes: measures what a cell's owner and its agents cost, at several
-// sizes, through the real message codec, and fits a line through the points.
+// beamhill-slopes: measures the cost of a cell's owner and agents at several
+// cell sizes, through the real message codec, and fits a line to the points.
 //
-// Time is virtual; processor time is this thread's, split between the owner's
-// part and the agents'. Prints JSON, which tools/measure-slopes keeps.
+// Time is virtual; processor time is that of this thread, attributed to the
+// owner or the agents. Prints JSON, which tools/measure-slopes saves.
 #include <algorithm>
 #include <cmath>
 #include <iostream>
@@ -23,8 +23,9 @@
   double y = 0;
 };
 
-// Least squares, with the largest residual as a share of the largest value.
-Json Fit(const std::vector<Point>& points) {
+// Fits a line by least squares. Reports the largest residual as a share of the
+// largest value.
+Json FitLine(const std::vector<Point>& points) {
   double sx = 0;
   double sy = 0;
   double sxx = 0;
@@ -40,16 +41,16 @@
   const double constant = (sy - slope * sx) / n;
   double worst = 0;
   double largest = 0;
-  Json listed = Json::array();
+  Json point_list = Json::array();
   for (const Point& p : points) {
     worst = std::max(worst, std::fabs(p.y - slope * p.x - constant));
     largest = std::max(largest, std::fabs(p.y));
-    listed.push_back({p.x, p.y});
+    point_list.push_back({p.x, p.y});
   }
   return {{"slope", slope},
           {"constant", constant},
           {"residual_share", largest == 0 ? 0 : worst / largest},
-          {"points", listed}};
+          {"points", point_list}};
 }
 
 Json MeasureCells() {
@@ -60,7 +61,7 @@
     const auto add = [&](const char* name, double y) {
       series[name].push_back({x, y});
     };
-    const Tally idle = cell.Idle();
+    const UsageTotals idle = cell.MeasureIdle();
     const double seconds = kIdleSeconds;
     add("owner_idle_cpu_us_per_s", idle.owner_cpu * 1e6 / seconds);
     add("agents_idle_cpu_us_per_s", idle.agent_cpu * 1e6 / seconds);
@@ -68,11 +69,11 @@
     add("cell_idle_messages_per_s",
         static_cast<double>(idle.messages) / seconds);
     add("owner_and_agents_heap_bytes",
-        static_cast<double>(cell.owner_and_agents_bytes()));
+        static_cast<double>(cell.idle_heap_bytes()));
     add("snapshot_bytes", static_cast<double>(cell.snapshot_bytes()));
     uint64_t starts = 0;
     const uint64_t snapshots_before = cell.snapshots();
-    const Tally load = cell.Load(&starts);
+    const UsageTotals load = cell.MeasureLoad(&starts);
     const auto per_start = static_cast<double>(starts);
     add("starts_per_s", per_start / kLoadSeconds);
     add("owner_cpu_us_per_start", load.owner_cpu * 1e6 / per_start);
@@ -86,11 +87,11 @@
             per_start);
   }
   Json fits = Json::object();
-  for (const auto& [name, points] : series) fits[name] = Fit(points);
+  for (const auto& [name, points] : series) fits[name] = FitLine(points);
   return fits;
 }
 
-// Rows' sizes by what they hold.
+// Measures the size of snapshot rows by their content.
 Json MeasureRows() {
   std::vector<Point> by_range;
   std::vector<Point> by_gap;
@@ -115,8 +116,8 @@
     by_gap.push_back({static_cast<double>(count),
                       static_cast<double>(EncodeRow(gapped).size())});
   }
-  return {{"snapshot_bytes_by_range", Fit(by_range)},
-          {"snapshot_bytes_by_gap_in_done_tasks", Fit(by_gap)}};
+  return {{"snapshot_bytes_by_range", FitLine(by_range)},
+          {"snapshot_bytes_by_gap_in_done_tasks", FitLine(by_gap)}};
 }
 
 }  // namespace
--- a/beamhill/testing/slopes_test.cc
+++ b/beamhill/testing/slopes_test.cc
@@ -1,5 +1,5 @@
-// Bounds on the slopes of docs/CAPACITY.md: counts and bytes only, which
-// repeat exactly.
+// Bounds on the slopes of docs/CAPACITY.md. Covers only counts and bytes, which
+// are deterministic.
 #include <gtest/gtest.h>
 
 #include "beamhill/testing/slope_cell.h"
@@ -9,36 +9,36 @@
 
 constexpr int kAgents = 100;
 
-TEST(Slopes, AnIdleAgentSaysLittle) {
+TEST(Slopes, IdleAgentTrafficIsBounded) {
   SlopeCell cell(kAgents);
-  const Tally idle = cell.Idle();
+  const UsageTotals idle = cell.MeasureIdle();
   const double per_agent = kAgents * static_cast<double>(kIdleSeconds);
   EXPECT_LE(static_cast<double>(idle.messages) / per_agent, 2.1);
   EXPECT_LE(static_cast<double>(idle.bytes) / per_agent, 150);
 }
 
-TEST(Slopes, AStartCostsFewBytesAndNoWrite) {
+TEST(Slopes, TrafficAndRowWritesPerStartAreBounded) {
   SlopeCell cell(kAgents);
   uint64_t starts = 0;
   const uint64_t snapshots = cell.snapshots();
-  const Tally load = cell.Load(&starts);
+  const UsageTotals load = cell.MeasureLoad(&starts);
   const auto n = static_cast<double>(starts);
   ASSERT_GT(starts, 10'000U);
   EXPECT_LE(static_cast<double>(load.bytes) / n, 200);
   EXPECT_LE(static_cast<double>(load.messages) / n, 0.6);
   EXPECT_LE(static_cast<double>(cell.snapshots() - snapshots) * 1000 / n, 1.0);
   EXPECT_LE(static_cast<double>(load.bytes) / kLoadSeconds / kAgents, 2'000)
-      << "bytes a second at each agent, of 4,096";
+      << "bytes per second at each agent; the limit is 4,096";
 }
 
-// Twice the starts must not mean twice the writes.
+// The number of row writes must not depend on the number of starts.
 TEST(Slopes, RowWritesDoNotGrowWithStarts) {
   SlopeCell small(30);
   SlopeCell large(300);
   uint64_t few = 0;
   uint64_t many = 0;
-  small.Load(&few);
-  large.Load(&many);
+  small.MeasureLoad(&few);
+  large.MeasureLoad(&many);
   ASSERT_GT(many, 5 * few);
   EXPECT_LE(large.snapshots(), small.snapshots() + 3);
 }
--- a/beamhill/testing/table_model.cc
+++ b/beamhill/testing/table_model.cc
@@ -58,17 +58,17 @@
   return rows;
 }
 
-std::vector<Row> TableModel::Standing(const Transaction& transaction) const {
-  std::vector<Row> standing;
+std::vector<Row> TableModel::CurrentRows(const Transaction& transaction) const {
+  std::vector<Row> current;
   const auto add = [&](const std::string& key) {
     const auto it = rows_.find(key);
-    if (it != rows_.end()) standing.push_back(it->second);
+    if (it != rows_.end()) current.push_back(it->second);
   };
   for (const RowCheck& check : transaction.checks) add(check.key);
   for (const RowWrite& write : transaction.writes) {
     if (write.expected_version != kAnyVersion) add(write.key);
   }
-  return standing;
+  return current;
 }
 
 CommitAnswer TableModel::Commit(const Transaction& transaction) {
@@ -85,7 +85,7 @@
                   });
   if (!checks_hold || !writes_hold) {
     ++counts_.conflicts;
-    return {CommitResult::kConflict, {}, Standing(transaction)};
+    return {CommitResult::kConflict, {}, CurrentRows(transaction)};
   }
   CommitAnswer answer{CommitResult::kCommitted, {}};
   for (const RowWrite& write : transaction.writes) {
--- a/beamhill/testing/table_model.h
+++ b/beamhill/testing/table_model.h
@@ -1,6 +1,10 @@
-// A stand-in for the platform's table: rows with versions, transactions, and
-// the faults of the real one. Pure; the fake platform serves it over HTTP and
-// the coordination tests drive it in virtual time.
+// In-memory model of the platform's table: versioned rows, transactions and
+// rate limits. It does no I/O; the fake platform serves it over HTTP, and the
+// coordination tests drive it in virtual time.
+//
+//   TableModel table(/*reads_per_second=*/0, /*writes_per_second=*/0);
+//   CommitAnswer answer = table.Commit(transaction);
+//   std::vector<Row> rows = table.Scan("jobs/");
 #ifndef BEAMHILL_TESTING_TABLE_MODEL_H_
 #define BEAMHILL_TESTING_TABLE_MODEL_H_
 
@@ -19,20 +23,22 @@
   uint64_t reads = 0;
   uint64_t row_writes = 0;
   uint64_t conflicts = 0;
-  uint64_t refused = 0;  // Over the rate limit.
+  uint64_t refused = 0;  // Calls over the rate limit.
 };
 
 class TableModel {
  public:
-  // Limits in rows a second; 0 for none.
+  // Limits are in read calls and written rows per second; 0: unlimited.
   TableModel(uint64_t reads_per_second, uint64_t writes_per_second);
 
+  // Returns one row for each key, with version 0 for a missing one.
   std::vector<Row> Read(const std::vector<std::string>& keys);
   std::vector<Row> Scan(const std::string& prefix);
-  // Never kUnknown: a lost answer is the transport's doing.
+  // Never returns kUnknown: only a transport loses answers. A conflict returns
+  // the current rows of the transaction's conditions.
   CommitAnswer Commit(const Transaction& transaction);
 
-  // Counts one call against the limits; false when it is refused.
+  // Take a call's cost from the token buckets; false if the limit is exceeded.
   bool AdmitRead(TimePoint now);
   bool AdmitWrites(uint64_t rows, TimePoint now);
 
@@ -47,7 +53,7 @@
   };
 
   uint64_t VersionOf(const std::string& key) const;
-  std::vector<Row> Standing(const Transaction& transaction) const;
+  std::vector<Row> CurrentRows(const Transaction& transaction) const;
 
   double reads_per_second_;
   double writes_per_second_;
--- a/beamhill/testing/worker_model.cc
+++ b/beamhill/testing/worker_model.cc
@@ -6,7 +6,7 @@
 namespace beamhill {
 namespace {
 
-// Runs of one task, followed through the record.
+// State of one task while the record is replayed.
 struct TaskTrace {
   std::string running_on;
   Attempt attempt;
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-bool WorkRecord::WasOutOfReach(const std::string& vm, TimePoint from,
-                               TimePoint to) const {
-  const auto spans = out_of_reach_.find(vm);
-  if (spans == out_of_reach_.end()) return false;
+bool WorkRecord::WasUnreachable(const std::string& vm, TimePoint from,
+                                TimePoint to) const {
+  const auto spans = unreachable_.find(vm);
+  if (spans == unreachable_.end()) return false;
   return std::any_of(
       spans->second.begin(), spans->second.end(),
       [&](const Span& span) { return span.from <= to && span.to >= from; });
@@ -38,8 +38,8 @@
                     std::to_string(ToMillis(e.at.time_since_epoch())) +
                     " ms: " + what);
   };
-  // Workers note the end of a task when they are next looked at, so the
-  // record is put in order of time.
+  // Workers record the end of a task only when they next advance, so events
+  // are sorted by time first.
   std::vector<WorkEvent> events = events_;
   std::stable_sort(
       events.begin(), events.end(),
@@ -64,14 +64,14 @@
     if (!trace.running_on.empty()) {
       report(event, "also runs on " + trace.running_on);
     }
-    if (trace.done && !WasOutOfReach(trace.done_on, trace.done_at, event.at)) {
-      report(event, "was done already");
+    if (trace.done && !WasUnreachable(trace.done_on, trace.done_at, event.at)) {
+      report(event, "was already done");
     }
-    if (event.attempt <= trace.attempt) report(event, "attempt not above");
-    const bool name_lost =
-        WasOutOfReach(trace.checkpointed_on, trace.checkpointed_at, event.at);
-    if (event.checkpoint != trace.last_checkpoint && !name_lost) {
-      report(event, "resumed from '" + event.checkpoint + "' not from '" +
+    if (event.attempt <= trace.attempt) report(event, "attempt not newer");
+    const bool checkpoint_unknown =
+        WasUnreachable(trace.checkpointed_on, trace.checkpointed_at, event.at);
+    if (event.checkpoint != trace.last_checkpoint && !checkpoint_unknown) {
+      report(event, "resumed from '" + event.checkpoint + "' instead of '" +
                         trace.last_checkpoint + "'");
     }
     trace.running_on = event.vm;
@@ -88,11 +88,11 @@
     *reason = "not the attached agent";
     return WorkerStartAnswer::kRefused;
   }
-  const auto had = had_.find(command.task);
-  if (had != had_.end() && had->second == command.attempt) {
+  const auto latest = latest_attempts_.find(command.task);
+  if (latest != latest_attempts_.end() && latest->second == command.attempt) {
     return WorkerStartAnswer::kStarted;
   }
-  if (had != had_.end() && command.attempt < had->second) {
+  if (latest != latest_attempts_.end() && command.attempt < latest->second) {
     *reason = "an older attempt";
     return WorkerStartAnswer::kRefused;
   }
@@ -106,7 +106,7 @@
     *reason = "lease over";
     return WorkerStartAnswer::kRefused;
   }
-  had_[command.task] = command.attempt;
+  latest_attempts_[command.task] = command.attempt;
   Entry entry;
   entry.listed = {command.task,
                   command.attempt,
@@ -115,7 +115,7 @@
                   "",
                   ""};
   entry.job = command.job;
-  entry.from = command.checkpoint;
+  entry.resumed_from = command.checkpoint;
   entry.lease_end = lease_end;
   const Duration run =
       run_time ? run_time(command.task, command.job) : command.job.declared_run;
@@ -176,8 +176,8 @@
   if (dead_ || agent != attached_ || percent <= 0) return;
   Advance(now);
   for (auto& [task, entry] : tasks_) {
-    const bool endless = entry.ends_at == TimePoint::max();
-    if (entry.listed.state != WorkerTaskState::kRunning || endless) continue;
+    const bool never_ends = entry.ends_at == TimePoint::max();
+    if (entry.listed.state != WorkerTaskState::kRunning || never_ends) continue;
     entry.ends_at = now + (entry.ends_at - now) * percent_ / percent;
   }
   percent_ = percent;
--- a/beamhill/testing/worker_model.h
+++ b/beamhill/testing/worker_model.h
@@ -1,7 +1,13 @@
-// A stand-in for the platform's workers, and the record of what ran on them.
+// Model of the platform's workers, and the record of what ran on them. Only the
+// workers write the record, so it is the ground truth for checks of the
+// product's invariants.
 //
-// The record is the ground truth that the invariants of the product are
-// checked against: it is written by the workers alone.
+//   WorkRecord record;
+//   WorkerModel worker("vm-1", capacity, &record);
+//   worker.Attach(agent);
+//   worker.Start(agent, command, lease_end, now, &reason);
+//   worker.Advance(later);
+//   std::vector<std::string> violations = record.Violations();
 #ifndef BEAMHILL_TESTING_WORKER_MODEL_H_
 #define BEAMHILL_TESTING_WORKER_MODEL_H_
 
@@ -21,9 +27,9 @@
   kStarted,
   kDone,
   kFailed,
-  kCheckpointed,  // And stopped.
-  kStopped,       // Without a checkpoint: cancelled, lapsed.
-  kLost,          // With its VM.
+  kCheckpointed,  // Stopped with a checkpoint.
+  kStopped,       // Stopped without one: cancelled, or its lease lapsed.
+  kLost,          // Lost with its VM.
 };
 
 struct WorkEvent {
@@ -32,23 +38,24 @@
   std::string vm;
   TaskId task;
   Attempt attempt;
-  std::string checkpoint;  // Resumed from, or made.
+  std::string checkpoint;  // Resumed from, or created.
 };
 
-// Every event on every worker, in order of time.
+// Events of all workers. An end may be recorded later than it happened.
 class WorkRecord {
  public:
   void Add(WorkEvent event) { events_.push_back(std::move(event)); }
-  // In this time nobody could learn from the VM what had ended on it: its
-  // agent was down, paused or cut off, or the VM was lost for good.
-  void AddOutOfReach(const std::string& vm, TimePoint from, TimePoint to) {
-    out_of_reach_[vm].push_back({from, to});
+  // Records a period in which no owner could learn what ended on the VM: its
+  // agent was down, paused or disconnected, or the VM was lost for good.
+  void AddUnreachable(const std::string& vm, TimePoint from, TimePoint to) {
+    unreachable_[vm].push_back({from, to});
   }
   const std::vector<WorkEvent>& events() const { return events_; }
 
-  // One line for each breach of "a task never runs in two places at once",
-  // "done work is not run again" and "evicted work resumes once, from its
-  // last checkpoint". What ended on a VM out of reach may be run again.
+  // Returns a line for each violation of these invariants: a task never runs
+  // in two places at once; a completed task is not run again; an evicted task
+  // resumes once, from its last checkpoint. A task that ended on a VM while the
+  // VM was unreachable may be run again.
   std::vector<std::string> Violations() const;
 
  private:
@@ -57,26 +64,28 @@
     TimePoint from{};
     TimePoint to{};
   };
-  bool WasOutOfReach(const std::string& vm, TimePoint from, TimePoint to) const;
+  bool WasUnreachable(const std::string& vm, TimePoint from,
+                      TimePoint to) const;
 
-  std::map<std::string, std::vector<Span>> out_of_reach_;
+  std::map<std::string, std::vector<Span>> unreachable_;
 };
 
+// The worker of one VM, driven by the caller's clock.
 class WorkerModel {
  public:
   WorkerModel(std::string vm, Resources capacity, WorkRecord* record)
       : vm_(std::move(vm)), capacity_(capacity), record_(record) {}
 
-  // True run time of a task; the declared one may be far off. Negative: the
-  // task fails after that long.
+  // Returns the true run time of a task, which may differ from the declared
+  // one. Negative: the task fails after that long.
   std::function<Duration(const TaskId& task, const JobSpec& job)> run_time;
 
-  // Calls of agents other than the last attached one are refused, so that a
-  // call in flight from an earlier run can't take effect.
+  // Makes the worker refuse calls of any other agent, so that a call in flight
+  // from an earlier agent incarnation can't take effect.
   void Attach(uint64_t agent) { attached_ = agent; }
   bool IsAttached(uint64_t agent) const { return attached_ == agent; }
-  // Takes effect at once when the attempt is new; answers kStarted again for
-  // the attempt that it has.
+  // Starts a new attempt at once; answers kStarted again for the attempt that
+  // it has. Sets `reason` when it refuses.
   WorkerStartAnswer Start(uint64_t agent, const WorkerCommand& command,
                           TimePoint lease_end, TimePoint now,
                           std::string* reason);
@@ -84,27 +93,27 @@
   void Stop(uint64_t agent, const TaskId& task, Attempt attempt,
             bool checkpoint, TimePoint now);
   void Forget(uint64_t agent, const TaskId& task, Attempt attempt);
-  // Batch tasks run at this share of their speed from now on.
+  // Runs batch tasks at `percent` of full speed from now on.
   void Throttle(uint64_t agent, int percent, TimePoint now);
   std::vector<WorkerTask> List() const;
 
-  // Ends what has run its time and what has outlived its lease.
+  // Ends tasks whose run time is over or whose lease has lapsed.
   void Advance(TimePoint now);
-  // Everything on it is gone.
+  // Fails the VM: ends every task as lost.
   void Kill(TimePoint now);
 
   void set_fails_every_task(bool fails) { fails_every_task_ = fails; }
   size_t running() const;
   int percent() const { return percent_; }
   Resources granted() const { return granted_; }
-  // Largest excess of granted over capacity ever, in any dimension.
+  // Whether granted resources ever exceeded the capacity in any dimension.
   bool overcommitted() const { return overcommitted_; }
 
  private:
   struct Entry {
     WorkerTask listed;
     JobSpec job;
-    std::string from;
+    std::string resumed_from;
     TimePoint ends_at{};
     bool ends_failed = false;
     TimePoint lease_end{};
@@ -123,7 +132,7 @@
   int percent_ = 100;
   Resources granted_;
   std::map<TaskId, Entry> tasks_;
-  std::map<TaskId, Attempt> had_;
+  std::map<TaskId, Attempt> latest_attempts_;
 };
 
 }  // namespace beamhill
