--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -17,26 +17,27 @@
 
 constexpr int kVms = 11;
 constexpr Duration kStep = std::chrono::seconds(1);
-constexpr size_t kReportLag = 3;  // Steps.
+constexpr size_t kReportLagSteps = 3;
+// Sigmas of log-normal noise.
 constexpr double kReportNoise = 0.2;
 constexpr double kRequestNoise = 0.35;
 constexpr int kRequestsPerStep = 10;
-constexpr double kServiceShare = 0.25;  // Of each VM, kept for its service.
+constexpr double kServiceShare = 0.25;  // Share of a VM kept for its service.
 constexpr double kThrottledSpeed = 0.35;
-constexpr double kEvictionLoss = 5;    // Seconds of work.
-constexpr double kOfferedLoad = 0.85;  // Of the batch capacity.
+constexpr double kEvictionLossSeconds = 5;
+constexpr double kOfferedBatchLoad = 0.85;  // Share of the batch capacity.
 constexpr int kEvictionsPerHour = 120;
 constexpr int kClasses = 6;
-constexpr double kMeanRun = 60;  // Declared, in seconds.
+constexpr double kMeanDeclaredRunSeconds = 60;
 
-struct Shape {
+struct HallParameters {
   double cores;
   double base_ms;
   Duration target;
   PolicyWeights weights;
 };
 
-Shape ShapeOf(HallShape shape) {
+HallParameters ParametersOf(HallShape shape) {
   if (shape == HallShape::kTsagaanTal) {
     return {32, 20, std::chrono::milliseconds(60), {70, 20, 10}};
   }
@@ -46,33 +47,33 @@
 struct Task {
   std::string work_class;
   double cores = 1;
-  double work = 0;  // Seconds left at full speed.
+  double work = 0;  // Seconds remaining at full speed.
   double age = 0;   // Seconds since it was placed.
 };
 
 struct Vm {
   std::string name;
   std::vector<Task> tasks;
-  ThrottleController ladder;
-  double load = 1;  // Of its service, over the usual.
-  double pressure = 1;
-  // Reports on their way: the loads of the time and the latency.
+  ThrottleController throttle;
+  double service_load = 1;  // Load of its service over the usual load.
+  double interference = 1;  // Smoothed ratio of reported to expected latency.
+  // Reports in flight: the loads when each was sent, and the latency.
   std::deque<std::pair<ClassLoads, Duration>> reports;
 };
 
-class Hall {
+class SimulatedHall {
  public:
-  explicit Hall(const PolicyBenchOptions& options)
+  explicit SimulatedHall(const PolicyBenchOptions& options)
       : options_(options),
-        shape_(ShapeOf(options.shape)),
+        parameters_(ParametersOf(options.shape)),
         random_(options.seed),
         policy_([this](const ClassLoads& l) { return Predict(l); },
-                shape_.weights),
+                parameters_.weights),
         vms_(kVms) {
     for (int i = 0; i < kClasses; ++i) {
       const std::string name = "class-" + std::to_string(i);
       classes_.push_back(name);
-      weight_[name] = i % 2 == 0 ? Uniform(0.1, 0.8) : Uniform(2, 6);
+      true_weights_[name] = i % 2 == 0 ? Uniform(0.1, 0.8) : Uniform(2, 6);
     }
     for (int i = 0; i < kVms; ++i) {
       vms_[Index(i)].name = "vm-" + std::to_string(i);
@@ -85,12 +86,12 @@
     for (int step = 0; step < steps; ++step) {
       now_ += kStep;
       ShiftLoad(step);
-      Arrive(step, steps);
+      SubmitArrivals(step, steps);
       PlaceWaiting();
       for (size_t i = 0; i < vms_.size(); ++i) {
-        Serve(vms_[i]);
-        Progress(vms_[i], Fails(i, step, steps));
-        React(vms_[i]);
+        ServeRequests(vms_[i]);
+        AdvanceTasks(vms_[i], Fails(i, step, steps));
+        ProcessReport(vms_[i]);
       }
     }
     return Result();
@@ -110,29 +111,30 @@
     return is_oracle() || options_.policy == HallPolicy::kBeamhill;
   }
 
-  // A worker that fails what it starts, in the middle third of the hour.
+  // Whether the worker fails its tasks: one does, in the middle third of a run.
   bool Fails(size_t vm, int step, int steps) const {
     return vm == failing_vm_ && step > steps / 3 && step < steps * 2 / 3;
   }
 
   ClassLoads LoadsOf(const Vm& vm) const {
-    return LoadsAt(vm, vm.ladder.throttled() ? kThrottledSpeed : 1);
+    return LoadsAt(vm, vm.throttle.throttled() ? kThrottledSpeed : 1);
   }
 
   ClassLoads LoadsAt(const Vm& vm, double speed) const {
     ClassLoads loads;
     for (const Task& task : vm.tasks) {
-      loads[task.work_class] += task.cores / shape_.cores * speed;
+      loads[task.work_class] += task.cores / parameters_.cores * speed;
     }
     return loads;
   }
 
-  double TrueMs(const ClassLoads& loads, double load) const {
+  double TrueMs(const ClassLoads& loads, double service_load) const {
     double slowdown = 0;
     for (const auto& [name, share] : loads) {
-      slowdown += weight_.at(name) * share;
+      slowdown += true_weights_.at(name) * share;
     }
-    return shape_.base_ms * load * (1 + slowdown + 0.1 * slowdown * slowdown);
+    return parameters_.base_ms * service_load *
+           (1 + slowdown + 0.1 * slowdown * slowdown);
   }
 
   InterferenceModel::Prediction Predict(const ClassLoads& loads) const {
@@ -141,12 +143,12 @@
             Duration(0)};
   }
 
-  // Slow drift, and now and then a jump of one VM's demand.
+  // Drifts the service load of each VM towards 1, with rare jumps.
   void ShiftLoad(int step) {
     for (Vm& vm : vms_) {
-      vm.load += 0.02 * (1 - vm.load) + Uniform(-0.02, 0.02);
-      if (Chance(0.0008)) vm.load = Uniform(1.3, 2.0);
-      vm.load = std::clamp(vm.load, 0.6, 2.0);
+      vm.service_load += 0.02 * (1 - vm.service_load) + Uniform(-0.02, 0.02);
+      if (Chance(0.0008)) vm.service_load = Uniform(1.3, 2.0);
+      vm.service_load = std::clamp(vm.service_load, 0.6, 2.0);
     }
     (void)step;
   }
@@ -156,33 +158,34 @@
       Task task;
       task.work_class = work_class;
       task.cores = std::floor(Uniform(1, 4));
-      task.work = kMeanRun * Lognormal(0.8);  // Far from what was declared.
+      task.work = kMeanDeclaredRunSeconds *
+                  Lognormal(0.8);  // Far from the declared time.
       waiting_.push_back(task);
     }
   }
 
-  void Arrive(int step, int steps) {
-    const double capacity = kVms * shape_.cores * (1 - kServiceShare);
-    const double mean_task = 2.0 * kMeanRun * std::exp(0.32);
-    const double jobs_per_step = capacity * kOfferedLoad / mean_task / 20;
+  void SubmitArrivals(int step, int steps) {
+    const double capacity = kVms * parameters_.cores * (1 - kServiceShare);
+    const double mean_task = 2.0 * kMeanDeclaredRunSeconds * std::exp(0.32);
+    const double jobs_per_step = capacity * kOfferedBatchLoad / mean_task / 20;
     if (Chance(jobs_per_step) && waiting_.size() < 400) {
       Submit(classes_[Index(static_cast<int>(Uniform(0, kClasses)))], 20);
     }
-    const bool wave = step % (steps / 6) == steps / 12;
-    if (wave) Submit("class-1", static_cast<int>(capacity / 8));
+    const bool burst = step % (steps / 6) == steps / 12;
+    if (burst) Submit("class-1", static_cast<int>(capacity / 8));
   }
 
-  // Tries each class once until none of it can be placed.
+  // Places waiting tasks, skipping a class once one of its tasks did not fit.
   void PlaceWaiting() {
-    std::map<std::string, bool> stuck;
+    std::map<std::string, bool> blocked;
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-      if (stuck[it->work_class]) {
+      if (blocked[it->work_class]) {
         ++it;
         continue;
       }
       const auto vm = Choose(*it);
       if (!vm) {
-        stuck[it->work_class] = true;
+        blocked[it->work_class] = true;
         ++it;
         continue;
       }
@@ -193,9 +196,9 @@
   }
 
   double FreeCores(const Vm& vm) const {
-    double used = shape_.cores * kServiceShare;
+    double used = parameters_.cores * kServiceShare;
     for (const Task& task : vm.tasks) used += task.cores;
-    return shape_.cores - used;
+    return parameters_.cores - used;
   }
 
   std::optional<size_t> Choose(const Task& task) const {
@@ -216,21 +219,22 @@
                                  return FreeCores(vms_[a]) < FreeCores(vms_[b]);
                                });
     }
-    std::vector<VmLoad> views;
+    std::vector<VmLoad> candidates;
     for (const size_t i : fitting) {
       const Vm& vm = vms_[i];
-      // As when its throttling ends: a throttled VM is not an idle one.
-      views.push_back({LoadsAt(vm, 1), FreeCores(vm) / shape_.cores,
-                       is_oracle() ? vm.load : vm.pressure});
+      // At full speed: throttling is temporary and leaves no room for tasks.
+      candidates.push_back({LoadsAt(vm, 1), FreeCores(vm) / parameters_.cores,
+                            is_oracle() ? vm.service_load : vm.interference});
     }
-    const auto choice = policy_.Choose(
-        task.work_class, task.cores / shape_.cores, views, shape_.target);
+    const auto choice =
+        policy_.Choose(task.work_class, task.cores / parameters_.cores,
+                       candidates, parameters_.target);
     if (!choice) return std::nullopt;
     return fitting[*choice];
   }
 
-  void Serve(Vm& vm) {
-    const double mean = TrueMs(LoadsOf(vm), vm.load);
+  void ServeRequests(Vm& vm) {
+    const double mean = TrueMs(LoadsOf(vm), vm.service_load);
     for (int i = 0; i < kRequestsPerStep; ++i) {
       latencies_.push_back(mean * Lognormal(kRequestNoise));
     }
@@ -239,9 +243,9 @@
                             Duration(static_cast<int64_t>(reported * 1000)));
   }
 
-  void Progress(Vm& vm, bool fails) {
-    const double speed = vm.ladder.throttled() ? kThrottledSpeed : 1;
-    std::vector<Task> left;
+  void AdvanceTasks(Vm& vm, bool fails) {
+    const double speed = vm.throttle.throttled() ? kThrottledSpeed : 1;
+    std::vector<Task> remaining;
     for (Task& task : vm.tasks) {
       task.age += 1;
       if (fails && task.age >= 2) {
@@ -254,55 +258,58 @@
       task.work -= done;
       result_.throughput += done * task.cores;
       if (task.work > 0) {
-        left.push_back(task);
+        remaining.push_back(task);
       } else {
         health_.OnEnded(vm.name, task.work_class, false, now_);
       }
     }
-    vm.tasks = std::move(left);
+    vm.tasks = std::move(remaining);
   }
 
-  // Takes in the report that arrives now and climbs the ladder.
-  void React(Vm& vm) {
-    if (!is_oracle() && vm.reports.size() <= kReportLag) return;
+  // Handles the report that arrives in this step; may throttle or evict.
+  void ProcessReport(Vm& vm) {
+    if (!is_oracle() && vm.reports.size() <= kReportLagSteps) return;
     const auto [loads, latency] = vm.reports.front();
     vm.reports.pop_front();
     if (options_.policy == HallPolicy::kBeamhill) {
       const double expected = ToMillis(model_.Predict(loads).mean);
       if (model_.samples() > 100) {
-        vm.pressure +=
-            0.1 *
-            (std::clamp(ToMillis(latency) / expected, 0.5, 3.0) - vm.pressure);
+        vm.interference +=
+            0.1 * (std::clamp(ToMillis(latency) / expected, 0.5, 3.0) -
+                   vm.interference);
       }
       model_.Observe(loads, latency);
     }
-    if (vm.ladder.Observe(latency, shape_.target, now_) ==
+    if (vm.throttle.Observe(latency, parameters_.target, now_) ==
         ThrottleAction::kEvict) {
       EvictOne(vm);
     }
   }
 
   void EvictOne(Vm& vm) {
-    const double seconds = std::chrono::duration<double>(now_ - kBegin).count();
+    const double seconds =
+        std::chrono::duration<double>(now_ - kStartTime).count();
     const double budget = kEvictionsPerHour * (0.2 + seconds / 3600);
     if (vm.tasks.empty() || static_cast<double>(result_.evictions) >= budget) {
       return;
     }
     const auto victim = std::max_element(
-        vm.tasks.begin(), vm.tasks.end(),
-        [this](const Task& a, const Task& b) { return Harm(a) < Harm(b); });
+        vm.tasks.begin(), vm.tasks.end(), [this](const Task& a, const Task& b) {
+          return LatencyContribution(a) < LatencyContribution(b);
+        });
     ++result_.evictions;
-    result_.lost_work += kEvictionLoss * victim->cores;
-    result_.throughput -= kEvictionLoss * victim->cores;
-    victim->work += kEvictionLoss;
+    result_.lost_work += kEvictionLossSeconds * victim->cores;
+    result_.throughput -= kEvictionLossSeconds * victim->cores;
+    victim->work += kEvictionLossSeconds;
     waiting_.push_front(*victim);
     vm.tasks.erase(victim);
   }
 
-  // What one task adds to the latency; without a model, its youth.
-  double Harm(const Task& task) const {
-    const double share = task.cores / shape_.cores;
-    if (is_oracle()) return weight_.at(task.work_class) * share;
+  // Estimates what a task adds to the latency. Policies without a model rank
+  // the youngest task highest.
+  double LatencyContribution(const Task& task) const {
+    const double share = task.cores / parameters_.cores;
+    if (is_oracle()) return true_weights_.at(task.work_class) * share;
     if (options_.policy == HallPolicy::kBeamhill) {
       return ToMillis(model_.WeightOf(task.work_class)) * share;
     }
@@ -321,20 +328,20 @@
     return result_;
   }
 
-  static constexpr TimePoint kBegin{std::chrono::hours(1)};
+  static constexpr TimePoint kStartTime{std::chrono::hours(1)};
 
   PolicyBenchOptions options_;
-  Shape shape_;
+  HallParameters parameters_;
   std::mt19937_64 random_;
   InterferenceModel model_;
   PlacementPolicy policy_;
   WorkerHealth health_;
   std::vector<std::string> classes_;
-  std::map<std::string, double> weight_;  // Hidden from all but the oracle.
+  std::map<std::string, double> true_weights_;  // Known only to the oracle.
   std::vector<Vm> vms_;
   size_t failing_vm_ = 0;
   std::deque<Task> waiting_;
-  TimePoint now_ = kBegin;
+  TimePoint now_ = kStartTime;
   std::vector<double> latencies_;
   PolicyResult result_;
 };
@@ -348,7 +355,7 @@
 }
 
 PolicyResult RunPolicyBench(const PolicyBenchOptions& options) {
-  Hall hall(options);
+  SimulatedHall hall(options);
   return hall.Run();
 }
 
--- a/beamhill/testing/policy_bench.h
+++ b/beamhill/testing/policy_bench.h
@@ -1,6 +1,8 @@
-// A fake of one hall's workers, to measure decisions in virtual time: hidden
-// slowdowns between classes and the service, late and noisy reports, load
-// shifts, noisy waves, wrong declared run times, a worker that fails its tasks.
+// Benchmark of placement, throttling and eviction in a simulated hall, in
+// virtual time. The simulation has interference between batch classes and the
+// service that policies can't see, late and noisy latency reports, load shifts,
+// bursts of a class with strong interference, wrong declared run times, and a
+// worker that fails its tasks.
 //
 //   PolicyResult r = RunPolicyBench({HallShape::kTsagaanTal, /*seed=*/7,
 //                                    HallPolicy::kBeamhill});
@@ -14,13 +16,14 @@
 
 namespace beamhill {
 
+// Example deployment whose VM size, latency and policy weights are used.
 enum class HallShape : uint8_t { kTsagaanTal, kPetalRun };
 
 enum class HallPolicy : uint8_t {
-  kFirstFit,     // The first VM with room.
-  kLeastLoaded,  // The VM with the most room.
-  kBeamhill,     // The product's code.
-  kOracle,       // The product's code, told the truth at once.
+  kFirstFit,     // The first VM with enough free cores.
+  kLeastLoaded,  // The VM with the most free cores.
+  kBeamhill,     // The product's policy.
+  kOracle,       // The product's policy with exact, immediate information.
 };
 const char* HallPolicyName(HallPolicy policy);
 
@@ -32,13 +35,15 @@
 };
 
 struct PolicyResult {
+  // Latency of the service's requests.
   double p50_ms = 0;
   double p99_ms = 0;
   double p999_ms = 0;
-  // Of batch work that tasks completed, in core seconds.
+  // Batch work done, less the work lost to evictions, in core seconds.
   double throughput = 0;
   uint64_t evictions = 0;
-  double lost_work = 0;  // Core seconds, by evictions and failures.
+  // Work lost to evictions and failures, in core seconds.
+  double lost_work = 0;
 };
 
 PolicyResult RunPolicyBench(const PolicyBenchOptions& options);
--- a/beamhill/testing/policy_bench_main.cc
+++ b/beamhill/testing/policy_bench_main.cc
@@ -1,5 +1,6 @@
-// beamhill-policy-bench: placement and yielding against baselines and an
-// oracle, in virtual time.
+// beamhill-policy-bench: compares the product's placement, throttling and
+// eviction with baselines and an oracle, in virtual time.
+//   beamhill-policy-bench --seed 1000 --seeds 10
 #include <tclap/CmdLine.h>
 
 #include <iomanip>
@@ -10,6 +11,7 @@
 namespace beamhill {
 namespace {
 
+// Averages over `seeds` seeds, except evictions, which are summed.
 PolicyResult Mean(HallShape shape, HallPolicy policy, uint64_t seed,
                   uint64_t seeds) {
   PolicyResult sum;
@@ -31,11 +33,12 @@
 }
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine cmd("Placement and yielding in a fake hall.");
+  TCLAP::CmdLine cmd(
+      "Compares placement and eviction policies in a simulated hall.");
   TCLAP::ValueArg<uint64_t> seed("", "seed", "first seed", false, 1000,
                                  "number", cmd);
-  TCLAP::ValueArg<uint64_t> seeds("", "seeds", "how many", false, 10, "count",
-                                  cmd);
+  TCLAP::ValueArg<uint64_t> seeds("", "seeds", "number of seeds", false, 10,
+                                  "count", cmd);
   cmd.parse(argc, argv);
   for (const HallShape shape : {HallShape::kTsagaanTal, HallShape::kPetalRun}) {
     std::cout << (shape == HallShape::kTsagaanTal ? "Tsagaan Tal" : "PetalRun")
--- a/beamhill/testing/policy_bench_test.cc
+++ b/beamhill/testing/policy_bench_test.cc
@@ -1,5 +1,6 @@
-// Regression bounds of the decisions: ratios within one run, virtual time,
-// seeds that nothing was tuned on.
+// Regression bounds for placement and eviction decisions, as ratios to
+// baselines and an oracle in virtual time. No policy parameter was tuned on
+// these seeds.
 #include "beamhill/testing/policy_bench.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +38,7 @@
   for (const HallPolicy baseline :
        {HallPolicy::kFirstFit, HallPolicy::kLeastLoaded}) {
     EXPECT_LT(ours.p99_ms, sums_[baseline].p99_ms);
-    // Tsagaan Tal's weights tell it to give throughput up for the tail.
+    // Tsagaan Tal's weights trade throughput for tail latency.
     const double share = GetParam() == HallShape::kPetalRun ? 1.0 : 0.95;
     EXPECT_GT(ours.throughput, sums_[baseline].throughput * share);
     EXPECT_LE(ours.evictions, sums_[baseline].evictions + kSeeds);
--- a/beamhill/testing/routing_bench.cc
+++ b/beamhill/testing/routing_bench.cc
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr char kService[] = "svc";
-constexpr Duration kHop = std::chrono::microseconds(500);
+constexpr Duration kNetworkDelay = std::chrono::microseconds(500);
 constexpr double kMeanServiceMs = 10;
 constexpr double kSlowFactor = 6;
-constexpr Duration kErrorTime = std::chrono::milliseconds(1);
+constexpr Duration kFailureTime = std::chrono::milliseconds(1);
 constexpr Duration kReportPeriod = std::chrono::milliseconds(50);
 constexpr int64_t kRetryPercent = 20;
 
@@ -30,13 +30,13 @@
   uint32_t in_progress = 0;
   bool slow = false;
   bool failing = false;
-  bool report_waiting = false;
-  std::deque<std::function<void()>> waiting;  // At the gate, for a slot.
+  bool report_scheduled = false;
+  std::deque<std::function<void()>> wait_queue;  // Waiting for a slot.
 };
 
 struct Request {
   size_t entry = 0;
-  TimePoint began{};
+  TimePoint started_at{};
   std::set<std::string> tried;
 };
 
@@ -60,7 +60,7 @@
 
   RoutingResult Run() {
     const TimePoint end = world_.now() + options_.length;
-    Arrive(end);
+    ScheduleArrival(end);
     while (world_.Step(end + std::chrono::seconds(5))) {
     }
     return Result();
@@ -72,11 +72,11 @@
         : table([&world] { return world.Uniform(); }) {}
     RunnerTable table;
     RetryBudget retries{kRetryPercent};
-    std::vector<int> own = std::vector<int>(64, 0);
-    size_t next = 0;
+    std::vector<int> in_progress_own = std::vector<int>(64, 0);
+    size_t next_runner = 0;
   };
 
-  double Capacity() const {
+  double HealthyCapacity() const {
     double capacity = 0;
     for (const Runner& runner : runners_) {
       if (runner.failing) continue;
@@ -90,17 +90,17 @@
     return -mean * std::log(1 - world_.Uniform());
   }
 
-  void Arrive(TimePoint end) {
-    const double gap_s = Exponential(1 / (Capacity() * options_.load));
+  void ScheduleArrival(TimePoint end) {
+    const double gap_s = Exponential(1 / (HealthyCapacity() * options_.load));
     world_.After(Duration(static_cast<int64_t>(gap_s * 1e6)), [this, end] {
       if (world_.now() >= end) return;
       auto request = std::make_shared<Request>();
       request->entry = world_.Below(entries_.size());
-      request->began = world_.now();
+      request->started_at = world_.now();
       ++offered_;
       entries_[request->entry]->retries.OnRequest();
       Send(request);
-      Arrive(end);
+      ScheduleArrival(end);
     });
   }
 
@@ -110,11 +110,11 @@
       case RoutingPolicy::kRandom:
         return world_.Below(n);
       case RoutingPolicy::kRoundRobin:
-        return entry.next++ % n;
+        return entry.next_runner++ % n;
       case RoutingPolicy::kLeastOfTwo: {
         const size_t a = world_.Below(n);
         const size_t b = world_.Below(n);
-        return entry.own[a] <= entry.own[b] ? a : b;
+        return entry.in_progress_own[a] <= entry.in_progress_own[b] ? a : b;
       }
       case RoutingPolicy::kBeamhill:
         break;
@@ -133,57 +133,58 @@
     }
     const TimePoint sent = world_.now();
     request->tried.insert(runners_[*choice].name);
-    ++entry.own[*choice];
+    ++entry.in_progress_own[*choice];
     entry.table.OnSent(runners_[*choice].name);
-    world_.After(kHop, [this, request, i = *choice, sent] {
-      ReachGate(request, i, sent);
+    world_.After(kNetworkDelay, [this, request, i = *choice, sent] {
+      ArriveAtRunner(request, i, sent);
     });
   }
 
-  void ReachGate(const std::shared_ptr<Request>& request, size_t i,
-                 TimePoint sent) {
+  void ArriveAtRunner(const std::shared_ptr<Request>& request, size_t i,
+                      TimePoint sent) {
     Runner& runner = runners_[i];
     if (runner.in_progress >= options_.slots) {
-      if (runner.waiting.size() < options_.slots / 4) {
-        runner.waiting.push_back(
-            [this, request, i, sent] { ReachGate(request, i, sent); });
+      if (runner.wait_queue.size() < options_.slots / 4) {
+        runner.wait_queue.push_back(
+            [this, request, i, sent] { ArriveAtRunner(request, i, sent); });
         return;
       }
-      world_.After(kHop, [this, request, i] { Refused(request, i); });
+      world_.After(kNetworkDelay, [this, request, i] { Refused(request, i); });
       return;
     }
     ++runner.in_progress;
     if (runner.in_progress > options_.slots) ++over_slots_;
-    Report(i);
+    ScheduleReport(i);
     const double mean = kMeanServiceMs * (runner.slow ? kSlowFactor : 1);
     const Duration service =
         runner.failing
-            ? kErrorTime
+            ? kFailureTime
             : Duration(static_cast<int64_t>(Exponential(mean) * 1000));
     world_.After(service, [this, request, i, sent] {
       --runners_[i].in_progress;
-      Report(i);
-      if (!runners_[i].waiting.empty()) {
-        const auto next = runners_[i].waiting.front();
-        runners_[i].waiting.pop_front();
-        next();
+      ScheduleReport(i);
+      if (!runners_[i].wait_queue.empty()) {
+        const auto resume = runners_[i].wait_queue.front();
+        runners_[i].wait_queue.pop_front();
+        resume();
       }
-      world_.After(kHop, [this, request, i, sent] { Ended(request, i, sent); });
+      world_.After(kNetworkDelay,
+                   [this, request, i, sent] { OnAnswer(request, i, sent); });
     });
   }
 
   void Refused(const std::shared_ptr<Request>& request, size_t i) {
     Entry& entry = *entries_[request->entry];
-    --entry.own[i];
+    --entry.in_progress_own[i];
     entry.table.OnRefused(runners_[i].name);
     if (entry.retries.TakeRetry()) return Send(request);
     ++not_run_;
   }
 
-  void Ended(const std::shared_ptr<Request>& request, size_t i,
-             TimePoint sent) {
+  void OnAnswer(const std::shared_ptr<Request>& request, size_t i,
+                TimePoint sent) {
     Entry& entry = *entries_[request->entry];
-    --entry.own[i];
+    --entry.in_progress_own[i];
     const bool failed = runners_[i].failing;
     entry.table.OnEnded(runners_[i].name, world_.now() - sent, failed,
                         world_.now());
@@ -191,21 +192,21 @@
       ++errors_;
       return;
     }
-    latencies_.push_back(ToMillis(world_.now() - request->began));
+    latencies_.push_back(ToMillis(world_.now() - request->started_at));
   }
 
-  // Reports go out on change, at most once a period.
-  void Report(size_t i) {
-    if (runners_[i].report_waiting) return;
-    runners_[i].report_waiting = true;
-    // A slot that becomes free on a full runner is told at once.
+  // Sends a report to all entries after a change, batching changes in between.
+  void ScheduleReport(size_t i) {
+    if (runners_[i].report_scheduled) return;
+    runners_[i].report_scheduled = true;
+    // A slot freed on a full runner is reported at once.
     const bool was_full = runners_[i].in_progress + 1 == options_.slots;
     world_.After(was_full ? Duration(0) : kReportPeriod / 10, [this, i] {
-      runners_[i].report_waiting = false;
+      runners_[i].report_scheduled = false;
       RunnerReport report;
       report.in_progress = runners_[i].in_progress;
       report.limit = options_.slots;
-      world_.After(kHop, [this, i, report] {
+      world_.After(kNetworkDelay, [this, i, report] {
         for (const auto& entry : entries_) {
           entry->table.OnReport(runners_[i].name, report, world_.now());
         }
@@ -226,7 +227,7 @@
     result.p50_ms = at(0.5);
     result.p99_ms = at(0.99);
     result.goodput =
-        static_cast<double>(latencies_.size()) / seconds / Capacity();
+        static_cast<double>(latencies_.size()) / seconds / HealthyCapacity();
     result.errors = static_cast<double>(errors_) / offered;
     result.not_run = static_cast<double>(not_run_) / offered;
     result.over_slots = over_slots_;
--- a/beamhill/testing/routing_bench.h
+++ b/beamhill/testing/routing_bench.h
@@ -1,5 +1,6 @@
-// Routing in virtual time: several entries that do not talk, runners with
-// slots behind gates, a slow runner, one that fails fast, load steps.
+// Benchmark of request routing in virtual time: several entries that share no
+// state, and runners with a limited number of slots behind an admission gate.
+// One runner may be slow, and one may fail every request at once.
 //
 //   RoutingResult r = RunRoutingBench({RoutingPolicy::kBeamhill, /*seed=*/7});
 #ifndef BEAMHILL_TESTING_ROUTING_BENCH_H_
@@ -14,7 +15,8 @@
 enum class RoutingPolicy : uint8_t {
   kRandom,
   kRoundRobin,
-  kLeastOfTwo,  // By the entry's own requests in progress only.
+  // Power of two choices, by the entry's own requests in progress only.
+  kLeastOfTwo,
   kBeamhill,
 };
 const char* RoutingPolicyName(RoutingPolicy policy);
@@ -22,7 +24,7 @@
 struct RoutingBenchOptions {
   RoutingPolicy policy = RoutingPolicy::kBeamhill;
   uint64_t seed = 1;
-  double load = 0.7;  // Offered, over the capacity of all healthy runners.
+  double load = 0.7;  // Offered load over the capacity of healthy runners.
   bool one_slow = false;
   bool one_failing = false;  // Answers at once with an error.
   int entries = 3;
@@ -32,12 +34,12 @@
 };
 
 struct RoutingResult {
-  double p50_ms = 0;  // Of requests that ran well.
+  double p50_ms = 0;  // Latency of successful requests.
   double p99_ms = 0;
-  double goodput = 0;  // Well-run requests over the healthy capacity.
+  double goodput = 0;  // Rate of successful requests over healthy capacity.
   double errors = 0;   // Share of requests answered with an error.
   double not_run = 0;  // Share of requests refused as not-run.
-  uint64_t over_slots = 0;
+  uint64_t over_slots = 0;  // Requests started beyond a runner's slots.
 };
 
 RoutingResult RunRoutingBench(const RoutingBenchOptions& options);
--- a/beamhill/testing/routing_bench_main.cc
+++ b/beamhill/testing/routing_bench_main.cc
@@ -1,4 +1,5 @@
-// beamhill-routing-bench: choice of runners against baselines, virtual time.
+// beamhill-routing-bench: compares the product's choice of runners with
+// baselines, in virtual time. Takes no arguments.
 #include <iomanip>
 #include <iostream>
 
--- a/beamhill/testing/routing_bench_test.cc
+++ b/beamhill/testing/routing_bench_test.cc
@@ -1,4 +1,5 @@
-// Regression bounds of routing: ratios within one run, virtual time.
+// Regression bounds for routing, as ratios to capacity and to baselines in
+// virtual time.
 #include "beamhill/testing/routing_bench.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +30,7 @@
   EXPECT_LT(calm.not_run, 0.005);
 }
 
-TEST(RoutingBench, GoesRoundASlowRunner) {
+TEST(RoutingBench, AvoidsSlowRunner) {
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 0.7, true, false);
   for (const RoutingPolicy baseline :
        {RoutingPolicy::kRandom, RoutingPolicy::kRoundRobin,
@@ -38,7 +39,7 @@
   }
 }
 
-TEST(RoutingBench, LeavesARunnerThatFailsFastOut) {
+TEST(RoutingBench, AvoidsRunnerThatFailsFast) {
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 0.7, false, true);
   EXPECT_LT(r.errors, 0.01);
   EXPECT_GT(Bench(RoutingPolicy::kLeastOfTwo, 0.7, false, true).errors, 0.05);
