--- a/beamhill/testing/child_process.h
+++ b/beamhill/testing/child_process.h
@@ -1,7 +1,7 @@
-// A program that a test runs as a process of its own, with a log file.
+// A program that a test runs as a child process, with a log file.
 //
 //   ChildProcess child({"/path/to/program", "settings.yaml"}, "child.log",
-//                      ChildProcess::Logged::kOutputAndErrors);
+//                      ChildProcess::Capture::kOutputAndErrors);
 //   child.Start();
 //   child.Signal(SIGTERM);
 #ifndef BEAMHILL_TESTING_CHILD_PROCESS_H_
@@ -16,30 +16,31 @@
 
 class ChildProcess {
  public:
-  // What goes to the log; the rest goes where the test's own goes.
-  enum class Logged { kOutput, kOutputAndErrors };
+  // Streams written to the log; the others are inherited from the test.
+  enum class Capture { kOutput, kOutputAndErrors };
 
   ChildProcess() = default;
-  // `command` begins with the program's path. Doesn't start it.
+  // `command` is the program's path and its arguments. Doesn't start it.
   ChildProcess(std::vector<std::string> command, std::string log,
-               Logged logged);
+               Capture capture);
 
-  // The log is appended to. That the program can't be started is an error of
-  // the test, which ends.
+  // Starts the program, appending to the log. Ends the test process if the
+  // program can't be started.
   void Start();
-  // Does nothing to one that isn't started. Waits for the end of one that it
-  // kills.
+  // Sends a signal; does nothing if the process isn't started. After SIGKILL,
+  // waits until the process has ended.
   void Signal(int signal_number);
-  // Whether it is started and not seen to have ended, by Ended() or a kill.
+  // Whether the process was started and neither Ended() nor a SIGKILL sent by
+  // Signal() has found its end.
   bool started() const { return pid_ != 0; }
-  // Whether it isn't running; looks for its end without waiting.
+  // Checks without waiting whether the process has ended or was never started.
   bool Ended();
 
  private:
   std::vector<std::string> command_;
-  std::string log_;
-  Logged logged_ = Logged::kOutput;
-  pid_t pid_ = 0;  // 0: not started, or seen to have ended.
+  std::string log_path_;
+  Capture capture_ = Capture::kOutput;
+  pid_t pid_ = 0;  // 0: not started, or known to have ended.
 };
 
 }  // namespace beamhill
--- a/beamhill/testing/demo_main.cc
+++ b/beamhill/testing/demo_main.cc
@@ -1,6 +1,7 @@
 // beamhill-demo: sends a deployment's sample requests and jobs through its
-// entries, changes a setting at the top of the tree, and prints what happened.
-// The stand-ins' own records are the judge of the promises.
+// entries, changes a setting at the root of the settings tree, and prints the
+// results. Checks the product's guarantees against the records of the fake
+// platform and runners; exits with 1 if a check fails.
 #include <tclap/CmdLine.h>
 
 #include <algorithm>
@@ -21,7 +22,7 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kTimeout = std::chrono::seconds(10);
+constexpr Duration kCallTimeout = std::chrono::seconds(10);
 constexpr int kVms = 11;
 
 struct DemoOptions {
@@ -32,10 +33,10 @@
   int requests = 0;
 };
 
-struct RequestTally {
+struct RequestTotals {
   std::map<std::string, int> outcomes;
   std::vector<Duration> latencies;
-  int wrong_answers = 0;
+  int mismatched_answers = 0;
 };
 
 class Demo {
@@ -43,13 +44,13 @@
   explicit Demo(DemoOptions options) : options_(std::move(options)) {}
 
   int Run() {
-    if (!WaitForCells()) return Fail("the cells were not taken in time");
-    if (!SubmitJobs()) return Fail("a job was not accepted");
-    const RequestTally tally = SendRequests();
+    if (!WaitForCells()) return Fail("cells or agents not ready after 15 s");
+    if (!SubmitJobs()) return Fail("no jobs, or an entry refused one");
+    const RequestTotals totals = SendRequests();
     const double setting_seconds = ChangeSetting();
-    if (setting_seconds < 0) return Fail("the setting did not come in force");
+    if (setting_seconds < 0) return Fail("setting not effective after 20 s");
     const bool finished = WaitForJobs();
-    return Print(tally, setting_seconds, finished);
+    return PrintReport(totals, setting_seconds, finished);
   }
 
  private:
@@ -58,17 +59,17 @@
     return 1;
   }
 
-  Address Local(int offset) const {
+  Address LocalPort(int offset) const {
     return {"127.0.0.1", static_cast<uint16_t>(options_.base_port + offset)};
   }
-  Address Callers(int entry) const { return Local(entry * 10); }
-  Address Operators(int entry) const { return Local(entry * 10 + 1); }
+  Address Callers(int entry) const { return LocalPort(entry * 10); }
+  Address Operators(int entry) const { return LocalPort(entry * 10 + 1); }
 
   static std::optional<Json> Get(const Address& address,
                                  const std::string& target) {
     const Result<HttpResponse> response = CallAndWait(
         address, {"GET", target, {{"Authorization", "Bearer demo-token"}}, ""},
-        kTimeout);
+        kCallTimeout);
     if (!IsOk(response) || ValueOf(response).status != 200) return std::nullopt;
     return Json::parse(ValueOf(response).body, nullptr, false);
   }
@@ -109,12 +110,12 @@
       if (!file) continue;
       std::ostringstream body;
       body << file.rdbuf();
-      // Each job is submitted twice, through both entries under one key.
+      // Submits each job through both entries under the same key.
       for (const int entry : {0, 1}) {
         const auto response = CallAndWait(
             Callers(entry),
             {"POST", "/v1/jobs", {{"Idempotency-Key", name}}, body.str()},
-            kTimeout);
+            kCallTimeout);
         if (!IsOk(response) || ValueOf(response).status > 201) return false;
         const Json json = Json::parse(ValueOf(response).body, nullptr, false);
         jobs_[json.value("job", "")] = Json::parse(body.str());
@@ -133,36 +134,36 @@
     return samples;
   }
 
-  // Sends at a steady rate through both entries in turn. A keyed request is
-  // sent twice under its key.
-  RequestTally SendRequests() {
-    RequestTally tally;
+  // Sends at a steady rate through both entries in turn. Sends a request with a
+  // key through both entries at once.
+  RequestTotals SendRequests() {
+    RequestTotals totals;
     const std::vector<Json> samples = SampleRequests();
     auto loop = EventLoop::Create();
     HttpClient first(*ValueOf(loop), Callers(0), 256);
     HttpClient second(*ValueOf(loop), Callers(1), 256);
     int sent = 0;
-    int open = 0;
+    int in_flight = 0;
     const auto send = [&](HttpClient& client, const HttpCall& call,
-                          const std::string& mark) {
-      ++open;
-      const TimePoint began = BootClock::now();
-      client.Fetch(call, kTimeout, [&, began, mark](const HttpOutcome& out) {
-        --open;
+                          const std::string& tag) {
+      ++in_flight;
+      const TimePoint start = BootClock::now();
+      client.Fetch(call, kCallTimeout, [&, start, tag](const HttpOutcome& out) {
+        --in_flight;
         const std::string outcome =
             FindHeader(out.response.headers, "Beamhill-Outcome")
                 .value_or("none");
-        ++tally.outcomes[outcome];
+        ++totals.outcomes[outcome];
         if (outcome == "ran") {
-          tally.latencies.push_back(BootClock::now() - began);
+          totals.latencies.push_back(BootClock::now() - start);
           const Json body = Json::parse(out.response.body, nullptr, false);
-          const bool whole =
-              body.is_object() && body.value("request", "") == mark;
-          const bool repeated =
+          const bool matches =
+              body.is_object() && body.value("request", "") == tag;
+          const bool is_repeat =
               FindHeader(out.response.headers, "Beamhill-Repeated").has_value();
-          if (!whole && !repeated) ++tally.wrong_answers;
+          if (!matches && !is_repeat) ++totals.mismatched_answers;
         }
-        if (open == 0 && sent >= options_.requests) ValueOf(loop)->Stop();
+        if (in_flight == 0 && sent >= options_.requests) ValueOf(loop)->Stop();
       });
     };
     const Timer ticker =
@@ -170,12 +171,12 @@
           if (sent >= options_.requests) return;
           const Json& sample =
               samples[static_cast<size_t>(sent) % samples.size()];
-          const std::string mark = "r" + std::to_string(sent);
+          const std::string tag = "r" + std::to_string(sent);
           HttpCall call;
           call.method = sample.at("method");
           call.target = "/services/" + options_.service +
                         sample.at("path").get<std::string>();
-          call.headers = {{"X-Request", mark}};
+          call.headers = {{"X-Request", tag}};
           if (sample.contains("body")) call.body = sample.at("body").dump();
           HttpClient& one = sent % 2 == 0 ? first : second;
           HttpClient& other = sent % 2 == 0 ? second : first;
@@ -183,13 +184,13 @@
           if (sample.contains("key")) {
             call.headers.emplace_back(
                 "Idempotency-Key",
-                sample.at("key").get<std::string>() + "-" + mark);
-            send(other, call, mark);
+                sample.at("key").get<std::string>() + "-" + tag);
+            send(other, call, tag);
           }
-          send(one, call, mark);
+          send(one, call, tag);
         });
     ValueOf(loop)->Run();
-    return tally;
+    return totals;
   }
 
   double ChangeSetting() {
@@ -197,7 +198,7 @@
     const std::string key = options_.setting.substr(0, equals);
     const std::string value = options_.setting.substr(equals + 1);
     const Json body = {{key, value}};
-    const TimePoint began = BootClock::now();
+    const TimePoint start = BootClock::now();
     const auto response = CallAndWait(Operators(0),
                                       {"PUT",
                                        "/v1/settings/estate",
@@ -205,13 +206,13 @@
                                         {"If-Match", "\"0\""},
                                         {"Beamhill-Operator", "demo"}},
                                        body.dump()},
-                                      kTimeout);
+                                      kCallTimeout);
     if (!IsOk(response) || ValueOf(response).status != 200) return -1;
     const uint64_t revision =
         Json::parse(ValueOf(response).body).at("revision");
     const bool everywhere = WaitFor(std::chrono::seconds(20), [&] {
       for (int vm = 1; vm <= kVms; ++vm) {
-        const auto state = Get(Local(20 + vm), "/v1/state");
+        const auto state = Get(LocalPort(20 + vm), "/v1/state");
         if (!state) return false;
         const Json& settings = state->at("settings");
         if (settings.at("revision") < revision) return false;
@@ -220,7 +221,7 @@
       return true;
     });
     if (!everywhere) return -1;
-    return ToMillis(BootClock::now() - began) / 1000;
+    return ToMillis(BootClock::now() - start) / 1000;
   }
 
   bool WaitForJobs() {
@@ -230,14 +231,15 @@
         const auto status = Get(Callers(0), "/v1/jobs/" + id);
         if (!status) return false;
         states_[id] = *status;
-        const bool endless = spec.value("kind", "") == "service";
-        all = all && (endless || status->value("state", "") == "finished");
+        const bool long_running = spec.value("kind", "") == "service";
+        all = all && (long_running || status->value("state", "") == "finished");
       }
       return all;
     });
   }
 
-  static std::string Millis(std::vector<Duration> latencies, double quantile) {
+  static std::string QuantileText(std::vector<Duration> latencies,
+                                  double quantile) {
     if (latencies.empty()) return "-";
     std::sort(latencies.begin(), latencies.end());
     const auto at = static_cast<size_t>(
@@ -248,66 +250,70 @@
     return text.str();
   }
 
-  static void Line(const std::string& what, const std::string& value) {
+  static void PrintLine(const std::string& what, const std::string& value) {
     std::cout << "  " << std::left << std::setw(44) << what << value << "\n";
   }
 
-  int Print(const RequestTally& tally, double setting_seconds, bool finished) {
+  int PrintReport(const RequestTotals& totals, double setting_seconds,
+                  bool finished) {
     const auto count = [&](const char* outcome) {
-      const auto it = tally.outcomes.find(outcome);
-      return std::to_string(it == tally.outcomes.end() ? 0 : it->second);
+      const auto it = totals.outcomes.find(outcome);
+      return std::to_string(it == totals.outcomes.end() ? 0 : it->second);
     };
     std::cout << "\nRequests to " << options_.service << "\n";
-    Line("ran / not-run / unknown",
-         count("ran") + " / " + count("not-run") + " / " + count("unknown"));
-    Line("p50, p99 of what ran",
-         Millis(tally.latencies, 0.5) + ", " + Millis(tally.latencies, 0.99));
+    PrintLine(
+        "ran / not-run / unknown",
+        count("ran") + " / " + count("not-run") + " / " + count("unknown"));
+    PrintLine("latency of requests that ran, p50, p99",
+              QuantileText(totals.latencies, 0.5) + ", " +
+                  QuantileText(totals.latencies, 0.99));
     std::cout << "Jobs\n";
     for (const auto& [id, state] : states_) {
-      Line(job_names_[id] + " (" + state.value("urgency", "") + ")",
-           state.value("state", "") + ", " +
-               std::to_string(state.value("done", 0)) + "/" +
-               std::to_string(state.value("tasks", 0)) + " done, " +
-               std::to_string(state.value("evictions", 0)) + " evictions");
+      PrintLine(job_names_[id] + " (" + state.value("urgency", "") + ")",
+                state.value("state", "") + ", " +
+                    std::to_string(state.value("done", 0)) + "/" +
+                    std::to_string(state.value("tasks", 0)) + " done, " +
+                    std::to_string(state.value("evictions", 0)) + " evictions");
     }
     std::cout << "Settings\n";
     std::ostringstream seconds;
     seconds << std::fixed << std::setprecision(2) << setting_seconds << " s";
-    Line("estate: " + options_.setting + ", in force everywhere after",
-         seconds.str());
-    return Judge(tally, finished);
+    PrintLine("estate: " + options_.setting + ", effective everywhere after",
+              seconds.str());
+    return PrintChecks(totals, finished);
   }
 
-  int Judge(const RequestTally& tally, bool finished) {
-    const auto platform = Get(Local(90), "/record");
+  int PrintChecks(const RequestTotals& totals, bool finished) {
+    const auto platform = Get(LocalPort(90), "/record");
     uint64_t over_slots = 0;
     uint64_t repeated_keys = 0;
     for (int vm = 1; vm <= kVms; ++vm) {
-      const auto runner = Get(Local(40 + vm), "/record");
-      if (!runner) return Fail("a runner does not answer");
+      const auto runner = Get(LocalPort(40 + vm), "/record");
+      if (!runner) return Fail("a fake runner does not answer");
       over_slots += runner->value("over_slots", 0);
       repeated_keys += runner->value("repeated_keys", 0);
     }
-    if (!platform) return Fail("the platform does not answer");
-    std::cout << "As the stand-ins saw it\n";
-    Line("task starts, table row writes",
-         std::to_string(platform->value("started", 0)) + ", " +
-             std::to_string(platform->at("table").value("row_writes", 0)));
-    Line("tasks run twice or resumed wrongly",
-         std::to_string(platform->at("violations").size()));
-    Line("VMs given more than they hold",
-         std::to_string(platform->at("overcommitted").size()));
-    Line("requests past a runner's slots", std::to_string(over_slots));
-    Line("keys that ran twice", std::to_string(repeated_keys));
-    Line("answers to another's request", std::to_string(tally.wrong_answers));
+    if (!platform) return Fail("the fake platform does not answer");
+    std::cout << "Records of the fake platform and runners\n";
+    PrintLine("task starts, table row writes",
+              std::to_string(platform->value("started", 0)) + ", " +
+                  std::to_string(platform->at("table").value("row_writes", 0)));
+    PrintLine("tasks run twice or resumed incorrectly",
+              std::to_string(platform->at("violations").size()));
+    PrintLine("VMs overcommitted",
+              std::to_string(platform->at("overcommitted").size()));
+    PrintLine("requests over a runner's slots", std::to_string(over_slots));
+    PrintLine("keys that ran twice", std::to_string(repeated_keys));
+    PrintLine("answers that belong to another request",
+              std::to_string(totals.mismatched_answers));
     const bool ok = finished && platform->at("violations").empty() &&
                     platform->at("overcommitted").empty() && over_slots == 0 &&
-                    repeated_keys == 0 && tally.wrong_answers == 0;
+                    repeated_keys == 0 && totals.mismatched_answers == 0;
     for (const Json& violation : platform->at("violations")) {
       std::cout << "  " << violation << "\n";
     }
-    if (!finished) std::cout << "  not all jobs finished in time\n";
-    std::cout << (ok ? "Every promise held.\n" : "A PROMISE WAS BROKEN.\n");
+    if (!finished) std::cout << "  not all jobs finished within 40 s\n";
+    std::cout << (ok ? "All checks passed.\n" : "A CHECK FAILED.\n");
     return ok ? 0 : 1;
   }
 
@@ -318,17 +324,18 @@
 };
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine cmd("Drives a deployment that tools/demo has started.");
-  TCLAP::ValueArg<std::string> directory("", "examples", "the deployment", true,
-                                         "", "folder", cmd);
+  TCLAP::CmdLine cmd(
+      "Sends sample work to a deployment started by tools/demo.");
+  TCLAP::ValueArg<std::string> directory(
+      "", "examples", "folder of the deployment", true, "", "folder", cmd);
   TCLAP::ValueArg<int> base("", "base-port", "first port", true, 0, "port",
                             cmd);
-  TCLAP::ValueArg<std::string> service("", "service", "the runners' service",
+  TCLAP::ValueArg<std::string> service("", "service", "service of the runners",
                                        true, "", "name", cmd);
-  TCLAP::ValueArg<std::string> setting("", "setting", "the change to make",
-                                       true, "", "key=value", cmd);
-  TCLAP::ValueArg<int> requests("", "requests", "how many to send", false, 1000,
-                                "count", cmd);
+  TCLAP::ValueArg<std::string> setting("", "setting", "setting to change", true,
+                                       "", "key=value", cmd);
+  TCLAP::ValueArg<int> requests("", "requests", "number of requests to send",
+                                false, 1000, "count", cmd);
   cmd.parse(argc, argv);
   Demo demo({directory.getValue(), static_cast<uint16_t>(base.getValue()),
              service.getValue(), setting.getValue(), requests.getValue()});
--- a/beamhill/testing/fake_runner_main.cc
+++ b/beamhill/testing/fake_runner_main.cc
@@ -1,9 +1,13 @@
-// beamhill-fake-runner: a stand-in for a backend server with slots.
+// beamhill-fake-runner: a fake backend server with slots, for tests and the
+// demo.
+//   beamhill-fake-runner --listen 127.0.0.1:0 --slots 8
 //
-// Answers any request after a service time with a JSON body that repeats the
-// path and the request's key. It counts requests that come while every slot is
-// taken and keys that it has seen before, since the product must send neither.
-//   ?ms=50       take so long         ?bytes=N   answer with N bytes
+// Answers any request after a service time with a JSON body that echoes the
+// path and the X-Request header. GET /record returns counters; it counts
+// requests received while all slots are taken and repeated idempotency keys,
+// since the product must send neither. Query parameters:
+//   ?ms=50       service time in ms
+//   ?bytes=N     answer with N bytes
 //   ?status=500  answer with this status
 #include <tclap/CmdLine.h>
 
@@ -38,33 +42,33 @@
     }
     ++requests_;
     const auto key = FindHeader(exchange.request().headers, "Idempotency-Key");
-    if (key && !keys_.insert(*key).second) ++repeated_keys_;
+    if (key && !seen_keys_.insert(*key).second) ++repeated_keys_;
     if (in_progress_ >= slots_) ++over_slots_;
     ++in_progress_;
-    most_in_progress_ = std::max(most_in_progress_, in_progress_);
+    max_in_progress_ = std::max(max_in_progress_, in_progress_);
     auto shared = std::make_shared<HttpExchange>(std::move(exchange));
-    const uint64_t id = next_++;
-    timers_[id] = loop_.After(ServiceTime(shared->request()), [=] {
+    const uint64_t id = next_timer_++;
+    answer_timers_[id] = loop_.After(ServiceTime(shared->request()), [=] {
       Answer(*shared);
       --in_progress_;
-      timers_.erase(id);
+      answer_timers_.erase(id);
     });
   }
 
  private:
   static int Param(const HttpRequest& request, const std::string& name,
-                   int otherwise) {
+                   int default_value) {
     const auto it = request.query.find(name);
-    return it == request.query.end() ? otherwise
+    return it == request.query.end() ? default_value
                                      : std::atoi(it->second.c_str());
   }
 
   Duration ServiceTime(const HttpRequest& request) {
     const int ms = Param(request, "ms", -1);
     if (ms >= 0) return std::chrono::milliseconds(ms);
-    std::exponential_distribution<double> spread(2.0);
+    std::exponential_distribution<double> distribution(2.0);
     return std::chrono::duration_cast<Duration>(mean_ *
-                                                (0.5 + spread(random_)));
+                                                (0.5 + distribution(random_)));
   }
 
   void Answer(HttpExchange& exchange) {
@@ -95,7 +99,7 @@
     return {{"requests", requests_},
             {"over_slots", over_slots_},
             {"repeated_keys", repeated_keys_},
-            {"most_in_progress", most_in_progress_}};
+            {"most_in_progress", max_in_progress_}};
   }
 
   EventLoop& loop_;
@@ -104,23 +108,23 @@
   Duration mean_;
   std::mt19937_64 random_{20261202};
   int in_progress_ = 0;
-  int most_in_progress_ = 0;
+  int max_in_progress_ = 0;
   uint64_t requests_ = 0;
   uint64_t over_slots_ = 0;
   uint64_t repeated_keys_ = 0;
-  std::set<std::string> keys_;
-  std::map<uint64_t, Timer> timers_;
-  uint64_t next_ = 0;
+  std::set<std::string> seen_keys_;
+  std::map<uint64_t, Timer> answer_timers_;
+  uint64_t next_timer_ = 0;
 };
 
 int Main(int argc, char** argv) {
-  TCLAP::CmdLine cmd("Stand-in for a backend server.");
+  TCLAP::CmdLine cmd("Fake backend server.");
   TCLAP::ValueArg<std::string> listen("", "listen", "ip:port; port 0: any",
                                       false, "127.0.0.1:0", "address", cmd);
   TCLAP::ValueArg<std::string> name("", "name", "name in answers", false,
                                     "runner", "text", cmd);
-  TCLAP::ValueArg<int> slots("", "slots", "requests at once", false, 8, "count",
-                             cmd);
+  TCLAP::ValueArg<int> slots("", "slots", "requests processed at once", false,
+                             8, "count", cmd);
   TCLAP::ValueArg<int> mean("", "mean-ms", "mean service time", false, 8, "ms",
                             cmd);
   cmd.parse(argc, argv);
--- a/beamhill/testing/free_port.cc
+++ b/beamhill/testing/free_port.cc
@@ -10,11 +10,11 @@
 namespace beamhill {
 namespace {
 
-// Below the range from which the kernel takes the ports of outgoing
-// connections. Each test process has a slice of its own.
+// Ports below the kernel's ephemeral range, divided into slices. A test
+// process takes the slice that its process id selects.
 constexpr int kFirstPort = 10'000;
 constexpr int kSliceSize = 400;
-constexpr int kSlices = 50;
+constexpr int kSliceCount = 50;
 
 bool IsFree(uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -32,12 +32,12 @@
 
 uint16_t FreePort() {
   static int next = 0;
-  const int slice = kFirstPort + getpid() % kSlices * kSliceSize;
-  for (int tried = 0; tried < kSliceSize; ++tried) {
+  const int slice = kFirstPort + getpid() % kSliceCount * kSliceSize;
+  for (int attempts = 0; attempts < kSliceSize; ++attempts) {
     const auto port = static_cast<uint16_t>(slice + next++ % kSliceSize);
     if (IsFree(port)) return port;
   }
-  CheckInvariant(false, "a free port in the process's slice");
+  CheckInvariant(false, "the process's port slice has a free port");
   return 0;
 }
 
--- a/beamhill/testing/free_port.h
+++ b/beamhill/testing/free_port.h
@@ -1,4 +1,6 @@
-// Ports for processes that a test starts.
+// Allocation of TCP ports for processes that a test starts.
+//
+//   const uint16_t port = FreePort();
 #ifndef BEAMHILL_TESTING_FREE_PORT_H_
 #define BEAMHILL_TESTING_FREE_PORT_H_
 
@@ -6,10 +8,11 @@
 
 namespace beamhill {
 
-// A TCP port of the loopback address that is free and that this process has
-// not been given lately. Test processes that run at the same time draw from
-// slices of their own: with ports drawn by the kernel, two deployments that
-// started together had one in common in 28 of 1,000 trials.
+// Returns a free TCP port of the loopback address that this process has not
+// been given recently. Concurrent test processes use separate port slices,
+// because with ports chosen by the kernel, two deployments that started
+// together shared a port in 28 of 1,000 trials. Ends the process if no port of
+// the slice is free.
 uint16_t FreePort();
 
 }  // namespace beamhill
--- a/beamhill/testing/process_keys_test.cc
+++ b/beamhill/testing/process_keys_test.cc
@@ -1,4 +1,5 @@
-// Requests with a key, through real processes: each runs at most once.
+// Checks with real processes that each request with an idempotency key runs at
+// most once.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -12,19 +13,19 @@
 
 using std::chrono::seconds;
 
-constexpr Duration kLong = seconds(90);
+constexpr Duration kWaitLimit = seconds(90);
 
 void Sleep(Duration duration) { std::this_thread::sleep_for(duration); }
 
 TEST(Keys, RunOnceThroughTwoEntries) {
-  TestEstate estate({});
-  ASSERT_TRUE(estate.WaitUntilOwned());
+  TestDeployment deployment({});
+  ASSERT_TRUE(deployment.WaitUntilOwned());
   for (int i = 0; i < 20; ++i) {
     const HttpHeaders key = {{"Idempotency-Key", "k" + std::to_string(i)}};
-    const auto a = estate.Call(estate.Callers(1), "POST", "/services/svc/order",
-                               "{}", key);
-    const auto b = estate.Call(estate.Callers(2), "POST", "/services/svc/order",
-                               "{}", key);
+    const auto a = deployment.Call(deployment.Callers(1), "POST",
+                                   "/services/svc/order", "{}", key);
+    const auto b = deployment.Call(deployment.Callers(2), "POST",
+                                   "/services/svc/order", "{}", key);
     EXPECT_EQ(a.outcome, "ran");
     EXPECT_EQ(b.outcome, "ran");
     EXPECT_EQ(a.body, b.body);
@@ -32,23 +33,23 @@
   int requests = 0;
   for (int vm = 1; vm <= 3; ++vm) {
     const auto state =
-        estate.Call(estate.AgentOperators(vm), "GET", "/v1/state");
+        deployment.Call(deployment.AgentOperators(vm), "GET", "/v1/state");
     requests += state.body.at("runner").value("ran", 0);
   }
   EXPECT_EQ(requests, 20);
 }
 
-// Found by the demo: of two requests of one key on their way at the same time
-// each met the other's claim, and neither ran.
+// Guards against concurrent requests with the same key blocking each other:
+// each found the other's claim, and neither ran.
 TEST(Keys, SentThroughTwoEntriesAtOnceRunOnceAndAnswerBoth) {
-  TestEstate estate({});
-  ASSERT_TRUE(estate.WaitUntilOwned());
+  TestDeployment deployment({});
+  ASSERT_TRUE(deployment.WaitUntilOwned());
   for (int i = 0; i < 30; ++i) {
     const HttpHeaders key = {{"Idempotency-Key", "k" + std::to_string(i)}};
-    TestEstate::Answer answers[2];
+    TestDeployment::Answer answers[2];
     const auto send = [&](int entry) {
-      answers[entry - 1] = estate.Call(estate.Callers(entry), "POST",
-                                       "/services/svc/order", "{}", key);
+      answers[entry - 1] = deployment.Call(deployment.Callers(entry), "POST",
+                                           "/services/svc/order", "{}", key);
     };
     std::thread other([&] { send(2); });
     send(1);
@@ -59,23 +60,26 @@
   }
   int requests = 0;
   for (int vm = 1; vm <= 3; ++vm) {
-    requests += estate.RunnerRecord(vm).value("requests", 0);
+    requests += deployment.RunnerRecord(vm).value("requests", 0);
   }
   EXPECT_EQ(requests, 30);
 }
 
-// The runner of a key is lost with its agent's memory; the other keeper knows.
+// The agent that ran a key is lost with its record of the key; the other agent
+// that keeps a record must prevent a second run.
 TEST(Keys, DoNotRunAgainWhenTheirRunnersAgentIsLost) {
-  TestEstate estate({});
-  ASSERT_TRUE(estate.WaitUntilOwned());
+  TestDeployment deployment({});
+  ASSERT_TRUE(deployment.WaitUntilOwned());
   const auto send = [&](int entry, int key) {
-    return estate.Call(estate.Callers(entry), "POST", "/services/svc/order",
-                       "{}", {{"Idempotency-Key", "k" + std::to_string(key)}});
+    return deployment.Call(deployment.Callers(entry), "POST",
+                           "/services/svc/order", "{}",
+                           {{"Idempotency-Key", "k" + std::to_string(key)}});
   };
   for (int i = 0; i < 30; ++i) EXPECT_EQ(send(1, i).outcome, "ran");
-  estate.Signal("agent-1", SIGKILL);
-  ASSERT_TRUE(TestEstate::WaitFor(kLong, [&] {
-    const auto state = estate.Call(estate.Operators(2), "GET", "/v1/state");
+  deployment.Signal("agent-1", SIGKILL);
+  ASSERT_TRUE(TestDeployment::WaitFor(kWaitLimit, [&] {
+    const auto state =
+        deployment.Call(deployment.Operators(2), "GET", "/v1/state");
     return state.body.is_object() && state.body.value("agents", 0) == 2;
   }));
   int repeated = 0;
@@ -86,50 +90,51 @@
     unknown += answer.outcome == "unknown" ? 1 : 0;
   }
   EXPECT_EQ(repeated + unknown, 30);
-  EXPECT_GT(unknown, 0) << "no key was at home on the lost agent";
+  EXPECT_GT(unknown, 0) << "the lost agent had run none of the keys";
   EXPECT_EQ(send(2, 1000).outcome, "ran");
   int requests = 0;
   for (int vm = 1; vm <= 3; ++vm) {
-    requests += estate.RunnerRecord(vm).value("requests", 0);
+    requests += deployment.RunnerRecord(vm).value("requests", 0);
   }
   EXPECT_EQ(requests, 31);
 }
 
-// A repeat that was given up before its claim was answered took the claim back
-// that the first request had made. With the first keeper lost, the key ran
-// again.
-TEST(Keys, StayRememberedThoughARepeatIsGivenUpWhileItsClaimIsOpen) {
-  TestEstate estate({});
-  ASSERT_TRUE(estate.WaitUntilOwned());
+// Guards against a repeated request that times out before its claim is
+// answered: its cleanup withdrew the claim of the first request, and the key
+// ran again after the other agent with a record of it was lost.
+TEST(Keys, StayRecordedWhenARepeatTimesOutBeforeItsClaimIsAnswered) {
+  TestDeployment deployment({});
+  ASSERT_TRUE(deployment.WaitUntilOwned());
   const auto send = [&](int entry, int key, const std::string& deadline) {
-    return estate.Call(estate.Callers(entry), "POST", "/services/svc/order",
-                       "{}",
-                       {{"Idempotency-Key", "k" + std::to_string(key)},
-                        {"Beamhill-Deadline-Ms", deadline}});
+    return deployment.Call(deployment.Callers(entry), "POST",
+                           "/services/svc/order", "{}",
+                           {{"Idempotency-Key", "k" + std::to_string(key)},
+                            {"Beamhill-Deadline-Ms", deadline}});
   };
   constexpr int kKeys = 30;
   for (int i = 0; i < kKeys; ++i) EXPECT_EQ(send(1, i, "9000").outcome, "ran");
   for (const char* agent : {"agent-2", "agent-3"}) {
-    estate.Signal(agent, SIGSTOP);
+    deployment.Signal(agent, SIGSTOP);
   }
   int not_run = 0;
   for (int i = 0; i < kKeys; ++i) {
     not_run += send(2, i, "20").outcome == "not-run" ? 1 : 0;
   }
-  EXPECT_GT(not_run, 0) << "no claim was open";
+  EXPECT_GT(not_run, 0) << "no repeat timed out while its claim was pending";
   for (const char* agent : {"agent-2", "agent-3"}) {
-    estate.Signal(agent, SIGCONT);
+    deployment.Signal(agent, SIGCONT);
   }
   Sleep(seconds(1));
-  estate.Signal("agent-1", SIGKILL);
-  ASSERT_TRUE(TestEstate::WaitFor(kLong, [&] {
-    const auto state = estate.Call(estate.Operators(2), "GET", "/v1/state");
+  deployment.Signal("agent-1", SIGKILL);
+  ASSERT_TRUE(TestDeployment::WaitFor(kWaitLimit, [&] {
+    const auto state =
+        deployment.Call(deployment.Operators(2), "GET", "/v1/state");
     return state.body.is_object() && state.body.value("agents", 0) == 2;
   }));
   for (int i = 0; i < kKeys; ++i) send(2, i, "9000");
   int requests = 0;
   for (int vm = 1; vm <= 3; ++vm) {
-    requests += estate.RunnerRecord(vm).value("requests", 0);
+    requests += deployment.RunnerRecord(vm).value("requests", 0);
   }
   EXPECT_EQ(requests, kKeys);
 }
--- a/beamhill/testing/test_deployment.cc
+++ b/beamhill/testing/test_deployment.cc
@@ -23,18 +23,19 @@
   return std::string(BEAMHILL_BINARY_DIR) + path;
 }
 
-std::string Text(const Address& address) {
+std::string ToText(const Address& address) {
   return address.ip + ":" + std::to_string(address.port);
 }
 
 }  // namespace
 
-TestEstate::TestEstate(const TestEstateOptions& options) : options_(options) {
-  std::string pattern = "/tmp/beamhill-estate-XXXXXX";
+TestDeployment::TestDeployment(const TestDeploymentOptions& options)
+    : options_(options) {
+  std::string pattern = "/tmp/beamhill-deployment-XXXXXX";
   directory_ = mkdtemp(pattern.data());
   Reserve("platform", 0);
   Add("platform", {Binary("/testing/beamhill-fake-platform"), "--listen",
-                   Text(Platform()), "--vms", std::to_string(options.vms),
+                   ToText(Platform()), "--vms", std::to_string(options.vms),
                    "--cpu-millis", "4000", "--memory-mib", "8000"});
   for (int i = 1; i <= options.entries; ++i) {
     Reserve("callers", i);
@@ -46,34 +47,34 @@
   for (auto& [name, process] : processes_) process.Start();
 }
 
-TestEstate::~TestEstate() {
+TestDeployment::~TestDeployment() {
   for (auto& [name, process] : processes_) process.Signal(SIGKILL);
   std::filesystem::remove_all(directory_);
 }
 
-void TestEstate::Reserve(const std::string& kind, int number) {
-  ports_[kind + std::to_string(number)] = FreePort();  // Kept over restarts.
+void TestDeployment::Reserve(const std::string& kind, int number) {
+  ports_[kind + std::to_string(number)] = FreePort();  // Kept across restarts.
 }
 
-Address TestEstate::Port(const std::string& kind, int number) const {
+Address TestDeployment::Port(const std::string& kind, int number) const {
   return {"127.0.0.1", ports_.at(kind + std::to_string(number))};
 }
 
-void TestEstate::Add(const std::string& name,
-                     std::vector<std::string> command) {
+void TestDeployment::Add(const std::string& name,
+                         std::vector<std::string> command) {
   processes_[name] =
       ChildProcess(std::move(command), directory_ + "/" + name + ".log",
-                   ChildProcess::Logged::kOutputAndErrors);
+                   ChildProcess::Capture::kOutputAndErrors);
 }
 
-void TestEstate::AddEntry(int number) {
+void TestDeployment::AddEntry(int number) {
   const std::string file =
       directory_ + "/entry-" + std::to_string(number) + ".yaml";
   std::ofstream(file) << "name: entry-" << number << "\nregion: region\n"
-                      << "listen:\n  callers: " << Text(Callers(number))
-                      << "\n  operators: " << Text(Operators(number))
-                      << "\n  agents: " << Text(Port("links", number))
-                      << "\nplatform:\n  address: " << Text(Platform())
+                      << "listen:\n  callers: " << ToText(Callers(number))
+                      << "\n  operators: " << ToText(Operators(number))
+                      << "\n  agents: " << ToText(Port("links", number))
+                      << "\nplatform:\n  address: " << ToText(Platform())
                       << "\n  timeout: 500ms\nshared_key: key\n"
                       << "operators_token: " << kToken
                       << "\ncell:\n  agent_term: 5s\n  ownership_term: 12s\n"
@@ -82,16 +83,16 @@
       {Binary("/entry/beamhill-entry"), file});
 }
 
-void TestEstate::AddVm(int number) {
+void TestDeployment::AddVm(int number) {
   Reserve("agent", number);
   Reserve("runner", number);
   const std::string n = std::to_string(number);
   Add("runner-" + n, {Binary("/testing/beamhill-fake-runner"), "--listen",
-                      Text(Port("runner", number)), "--mean-ms",
+                      ToText(Port("runner", number)), "--mean-ms",
                       std::to_string(options_.runner_mean_ms)});
   std::string entries;
   for (int i = 1; i <= options_.entries; ++i) {
-    entries += (i > 1 ? ", \"" : "\"") + Text(Port("links", i)) + "\"";
+    entries += (i > 1 ? ", \"" : "\"") + ToText(Port("links", i)) + "\"";
   }
   const std::string file = directory_ + "/agent-" + n + ".yaml";
   std::ofstream(file) << "vm: vm-" << n << "\nregion: region\nhall: hall\n"
@@ -99,32 +100,32 @@
                       << "]\nshared_key: " << options_.agent_key
                       << "\noperators_token: " << kToken
                       << "\nlisten:\n  operators: "
-                      << Text(AgentOperators(number))
-                      << "\nworker:\n  platform: " << Text(Platform())
+                      << ToText(AgentOperators(number))
+                      << "\nworker:\n  platform: " << ToText(Platform())
                       << "\n  cpu_millis: 4000\n  memory_mib: 8000\n"
                       << "runner:\n  service: svc\n  address: "
-                      << Text(Port("runner", number)) << "\n";
+                      << ToText(Port("runner", number)) << "\n";
   Add("agent-" + n, {Binary("/agent/beamhill-agent"), file});
 }
 
-void TestEstate::Start(const std::string& process) {
+void TestDeployment::Start(const std::string& process) {
   processes_.at(process).Start();
 }
 
-void TestEstate::Signal(const std::string& process, int signal_number) {
+void TestDeployment::Signal(const std::string& process, int signal_number) {
   processes_.at(process).Signal(signal_number);
 }
 
-bool TestEstate::WaitForEnd(const std::string& process, Duration limit) {
+bool TestDeployment::WaitForEnd(const std::string& process, Duration limit) {
   ChildProcess& child = processes_.at(process);
   return WaitFor(limit, [&child] { return child.Ended(); });
 }
 
-TestEstate::Answer TestEstate::Call(const Address& server,
-                                    const std::string& method,
-                                    const std::string& target,
-                                    const std::string& body,
-                                    HttpHeaders headers) const {
+TestDeployment::Answer TestDeployment::Call(const Address& server,
+                                            const std::string& method,
+                                            const std::string& target,
+                                            const std::string& body,
+                                            HttpHeaders headers) const {
   headers.emplace_back("Authorization", std::string("Bearer ") + kToken);
   const Result<HttpResponse> result =
       CallAndWait(server, {method, target, headers, body}, kCallTimeout);
@@ -139,8 +140,8 @@
   return answer;
 }
 
-TestEstate::Answer TestEstate::Submit(int entry, const std::string& key,
-                                      int tasks, int run_ms) const {
+TestDeployment::Answer TestDeployment::Submit(int entry, const std::string& key,
+                                              int tasks, int run_ms) const {
   const Json job = {{"team", "team"},     {"class", "batch"},
                     {"tasks", tasks},     {"cpu_millis", 1000},
                     {"memory_mib", 1000}, {"run_ms", run_ms}};
@@ -148,20 +149,20 @@
               {{"Idempotency-Key", key}});
 }
 
-void TestEstate::Fault(const Json& fault) const {
+void TestDeployment::Fault(const Json& fault) const {
   Call(Platform(), "POST", "/faults", fault.dump());
 }
 
-Json TestEstate::Record() const {
+Json TestDeployment::Record() const {
   return Call(Platform(), "GET", "/record").body;
 }
 
-Json TestEstate::RunnerRecord(int vm) const {
+Json TestDeployment::RunnerRecord(int vm) const {
   return Call(Port("runner", vm), "GET", "/record").body;
 }
 
-bool TestEstate::WaitFor(Duration limit,
-                         const std::function<bool()>& condition) {
+bool TestDeployment::WaitFor(Duration limit,
+                             const std::function<bool()>& condition) {
   const TimePoint end = BootClock::now() + limit;
   while (BootClock::now() < end) {
     if (condition()) return true;
@@ -170,9 +171,9 @@
   return condition();
 }
 
-int TestEstate::Owner() const {
+int TestDeployment::Owner() const {
   for (int i = 1; i <= options_.entries; ++i) {
-    // A stopped process would not answer; its pid tells.
+    // Skips killed entries, which would not answer.
     if (!processes_.at("entry-" + std::to_string(i)).started()) continue;
     const Answer state = Call(Operators(i), "GET", "/v1/state");
     if (!state.body.is_object()) continue;
@@ -183,7 +184,7 @@
   return 0;
 }
 
-bool TestEstate::WaitUntilOwned() const {
+bool TestDeployment::WaitUntilOwned() const {
   return WaitFor(std::chrono::seconds(30), [this] {
     for (int i = 1; i <= options_.entries; ++i) {
       if (!processes_.at("entry-" + std::to_string(i)).started()) continue;
@@ -195,8 +196,8 @@
   });
 }
 
-bool TestEstate::WaitUntilFinished(const std::string& job,
-                                   Duration limit) const {
+bool TestDeployment::WaitUntilFinished(const std::string& job,
+                                       Duration limit) const {
   return WaitFor(limit, [&] {
     for (int i = 1; i <= options_.entries; ++i) {
       if (!processes_.at("entry-" + std::to_string(i)).started()) continue;
