--- a/beamhill/testing/coordination_test.cc
+++ b/beamhill/testing/coordination_test.cc
@@ -1,6 +1,6 @@
-// Checks that each task runs in one place at a time and is done once under
-// every fault: alone, twice in close succession, in pairs and all together; and
-// that the checks detect injected defects.
+// Checks the invariants of WorkRecord::Violations under every fault: alone, in
+// close succession, in pairs and all together. Also checks that these checks
+// detect injected defects.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -200,7 +200,7 @@
     std::vector<std::unique_ptr<SimEntry>> entries;
     SimVm vm(world, record, "vm-1", {4000, 8000, 0}, entries, SimDefect::kNone);
     const TimePoint start = world.now();
-    const auto pass_until = [&world](TimePoint at) {
+    const auto advance_to = [&world](TimePoint at) {
       world.At(at, [] {});
       while (world.Step(at)) {
       }
@@ -212,12 +212,12 @@
                   Attempt::Make(1, sequence), ""});
     };
     add(0, WorkEventKind::kStarted, "vm-1", 1);
-    pass_until(start + std::chrono::seconds(1));
+    advance_to(start + std::chrono::seconds(1));
     vm.KillAgent();
-    pass_until(start + std::chrono::seconds(2));
+    advance_to(start + std::chrono::seconds(2));
     if (restarted) vm.StartAgent();
     add(3, WorkEventKind::kDone, "vm-1", 1);
-    pass_until(start + std::chrono::seconds(9));
+    advance_to(start + std::chrono::seconds(9));
     vm.Lose();
     add(8, WorkEventKind::kStarted, "vm-2", 2);
     EXPECT_EQ(record.Violations().size(), restarted ? 1U : 0U);
--- a/beamhill/testing/fake_platform_main.cc
+++ b/beamhill/testing/fake_platform_main.cc
@@ -161,11 +161,11 @@
     Json list = Json::array();
     const TimePoint shown_until = BootClock::now() - faults_.list_lag;
     for (const auto& [name, vm] : vms_) {
-      const bool change_shows = vm.changed_at <= shown_until;
-      if (vm.dead && change_shows) continue;
+      const bool change_visible = vm.changed_at <= shown_until;
+      if (vm.dead && change_visible) continue;
       list.push_back(
           {{"vm", name},
-           {"state", vm.leaving && change_shows ? "leaving" : "live"}});
+           {"state", vm.leaving && change_visible ? "leaving" : "live"}});
     }
     return {{"vms", list}};
   }
--- a/beamhill/testing/policy_bench.cc
+++ b/beamhill/testing/policy_bench.cc
@@ -105,7 +105,7 @@
   double Lognormal(double sigma) {
     return std::lognormal_distribution<double>(0, sigma)(random_);
   }
-  bool Chance(double share) { return Uniform(0, 1) < share; }
+  bool Chance(double probability) { return Uniform(0, 1) < probability; }
   bool is_oracle() const { return options_.policy == HallPolicy::kOracle; }
   bool uses_policy() const {
     return is_oracle() || options_.policy == HallPolicy::kBeamhill;
@@ -128,7 +128,8 @@
     return loads;
   }
 
-  double TrueMs(const ClassLoads& loads, double service_load) const {
+  // Returns the mean latency with interference, which grows superlinearly.
+  double TrueLatencyMs(const ClassLoads& loads, double service_load) const {
     double slowdown = 0;
     for (const auto& [name, share] : loads) {
       slowdown += true_weights_.at(name) * share;
@@ -139,7 +140,7 @@
 
   InterferenceModel::Prediction Predict(const ClassLoads& loads) const {
     if (!is_oracle()) return model_.Predict(loads);
-    return {Duration(static_cast<int64_t>(TrueMs(loads, 1) * 1000)),
+    return {Duration(static_cast<int64_t>(TrueLatencyMs(loads, 1) * 1000)),
             Duration(0)};
   }
 
@@ -158,8 +159,8 @@
       Task task;
       task.work_class = work_class;
       task.cores = std::floor(Uniform(1, 4));
-      task.work = kMeanDeclaredRunSeconds *
-                  Lognormal(0.8);  // Far from the declared time.
+      // Differs widely from the declared run time.
+      task.work = kMeanDeclaredRunSeconds * Lognormal(0.8);
       waiting_.push_back(task);
     }
   }
@@ -222,7 +223,7 @@
     std::vector<VmLoad> candidates;
     for (const size_t i : fitting) {
       const Vm& vm = vms_[i];
-      // At full speed: throttling is temporary and leaves no room for tasks.
+      // Loads at full speed: those of a throttled VM rise when throttling ends.
       candidates.push_back({LoadsAt(vm, 1), FreeCores(vm) / parameters_.cores,
                             is_oracle() ? vm.service_load : vm.interference});
     }
@@ -234,7 +235,7 @@
   }
 
   void ServeRequests(Vm& vm) {
-    const double mean = TrueMs(LoadsOf(vm), vm.service_load);
+    const double mean = TrueLatencyMs(LoadsOf(vm), vm.service_load);
     for (int i = 0; i < kRequestsPerStep; ++i) {
       latencies_.push_back(mean * Lognormal(kRequestNoise));
     }
@@ -266,7 +267,8 @@
     vm.tasks = std::move(remaining);
   }
 
-  // Handles the report that arrives in this step; may throttle or evict.
+  // Handles the report that arrives in this step, by throttling or evicting if
+  // the latency is above the target.
   void ProcessReport(Vm& vm) {
     if (!is_oracle() && vm.reports.size() <= kReportLagSteps) return;
     const auto [loads, latency] = vm.reports.front();
--- a/beamhill/testing/process_keys_test.cc
+++ b/beamhill/testing/process_keys_test.cc
@@ -100,8 +100,8 @@
 }
 
 // Guards against a repeated request that times out before its claim is
-// answered: its cleanup withdrew the claim of the first request, and the key
-// ran again after the other agent with a record of it was lost.
+// answered: it withdrew the claim that the first request had made, and the key
+// ran again once the first agent with a record of the key was lost.
 TEST(Keys, StayRecordedWhenARepeatTimesOutBeforeItsClaimIsAnswered) {
   TestDeployment deployment({});
   ASSERT_TRUE(deployment.WaitUntilOwned());
--- a/beamhill/testing/routing_bench.cc
+++ b/beamhill/testing/routing_bench.cc
@@ -31,7 +31,8 @@
   bool slow = false;
   bool failing = false;
   bool report_scheduled = false;
-  std::deque<std::function<void()>> wait_queue;  // Waiting for a slot.
+  // Callbacks of requests that wait at the gate for a slot.
+  std::deque<std::function<void()>> wait_queue;
 };
 
 struct Request {
@@ -72,7 +73,8 @@
         : table([&world] { return world.Uniform(); }) {}
     RunnerTable table;
     RetryBudget retries{kRetryPercent};
-    std::vector<int> in_progress_own = std::vector<int>(64, 0);
+    // This entry's requests in progress at each runner.
+    std::vector<int> own_in_progress = std::vector<int>(64, 0);
     size_t next_runner = 0;
   };
 
@@ -114,7 +116,7 @@
       case RoutingPolicy::kLeastOfTwo: {
         const size_t a = world_.Below(n);
         const size_t b = world_.Below(n);
-        return entry.in_progress_own[a] <= entry.in_progress_own[b] ? a : b;
+        return entry.own_in_progress[a] <= entry.own_in_progress[b] ? a : b;
       }
       case RoutingPolicy::kBeamhill:
         break;
@@ -133,7 +135,7 @@
     }
     const TimePoint sent = world_.now();
     request->tried.insert(runners_[*choice].name);
-    ++entry.in_progress_own[*choice];
+    ++entry.own_in_progress[*choice];
     entry.table.OnSent(runners_[*choice].name);
     world_.After(kNetworkDelay, [this, request, i = *choice, sent] {
       ArriveAtRunner(request, i, sent);
@@ -149,7 +151,8 @@
             [this, request, i, sent] { ArriveAtRunner(request, i, sent); });
         return;
       }
-      world_.After(kNetworkDelay, [this, request, i] { Refused(request, i); });
+      world_.After(kNetworkDelay,
+                   [this, request, i] { OnRequestRefused(request, i); });
       return;
     }
     ++runner.in_progress;
@@ -173,9 +176,9 @@
     });
   }
 
-  void Refused(const std::shared_ptr<Request>& request, size_t i) {
+  void OnRequestRefused(const std::shared_ptr<Request>& request, size_t i) {
     Entry& entry = *entries_[request->entry];
-    --entry.in_progress_own[i];
+    --entry.own_in_progress[i];
     entry.table.OnRefused(runners_[i].name);
     if (entry.retries.TakeRetry()) return Send(request);
     ++not_run_;
@@ -184,7 +187,7 @@
   void OnAnswer(const std::shared_ptr<Request>& request, size_t i,
                 TimePoint sent) {
     Entry& entry = *entries_[request->entry];
-    --entry.in_progress_own[i];
+    --entry.own_in_progress[i];
     const bool failed = runners_[i].failing;
     entry.table.OnEnded(runners_[i].name, world_.now() - sent, failed,
                         world_.now());
@@ -195,7 +198,8 @@
     latencies_.push_back(ToMillis(world_.now() - request->started_at));
   }
 
-  // Sends a report to all entries after a change, batching changes in between.
+  // Sends a report to all entries shortly after a change; changes until then
+  // are in the same report.
   void ScheduleReport(size_t i) {
     if (runners_[i].report_scheduled) return;
     runners_[i].report_scheduled = true;
--- a/beamhill/testing/routing_bench_test.cc
+++ b/beamhill/testing/routing_bench_test.cc
@@ -22,12 +22,13 @@
 }
 
 TEST(RoutingBench, KeepsGoodputAtTwiceTheCapacity) {
-  const RoutingResult calm = Bench(RoutingPolicy::kBeamhill, 0.7, false, false);
+  const RoutingResult moderate_load =
+      Bench(RoutingPolicy::kBeamhill, 0.7, false, false);
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 2.0, false, false);
   EXPECT_GT(r.goodput, 0.95);
-  EXPECT_LT(r.p99_ms, calm.p99_ms * 1.2);
+  EXPECT_LT(r.p99_ms, moderate_load.p99_ms * 1.2);
   EXPECT_EQ(r.over_slots, 0U);
-  EXPECT_LT(calm.not_run, 0.005);
+  EXPECT_LT(moderate_load.not_run, 0.005);
 }
 
 TEST(RoutingBench, AvoidsSlowRunner) {
--- a/beamhill/testing/sim_nodes.h
+++ b/beamhill/testing/sim_nodes.h
@@ -46,7 +46,9 @@
   SimProcess& process() { return process_; }
   CellHost* host() { return host_.get(); }
   const std::string& name() const { return name_; }
+  // Whether the entry can't reach the table.
   bool table_blocked = false;
+  // Takeovers by earlier incarnations.
   uint64_t takeovers = 0;
 
  private:
@@ -77,11 +79,12 @@
   void KillAgent();
   // Fails the VM for good, with its agent, worker and tasks.
   void Lose();
-  // Breaks the connection; each end detects it after a random delay.
+  // Drops all further messages of the connection at once; each end detects the
+  // loss after a random delay.
   void CutLink(size_t entry);
   // Handles a connection closed by the entry or by the death of its process.
   void OnEntryClosed(const std::string& entry, uint64_t link);
-  // Carries a message of the entry over the wire.
+  // Delivers a message from the entry, in order, after the link's delay.
   void SendFromEntry(const std::string& entry, uint64_t link, Message message);
 
   SimProcess& process() { return process_; }
@@ -105,6 +108,7 @@
   void ScheduleLinkDown(size_t entry, Duration delay);
   void Tick();
   void Flush();
+  // Polls the worker's tasks periodically.
   void ListWorker();
   void RunCommand(const WorkerCommand& command);
   void SendToEntry(size_t entry, Message message);
--- a/beamhill/testing/slope_cell.h
+++ b/beamhill/testing/slope_cell.h
@@ -31,7 +31,7 @@
 inline constexpr Duration kTaskRunTime = std::chrono::seconds(1);
 // Bytes of the WebSocket and TCP/IP headers of a small frame, and of its
 // acknowledgement when no data goes back in time to carry it.
-inline constexpr uint64_t kFrameOverhead = 8 + 40;
+inline constexpr uint64_t kFrameOverheadBytes = 8 + 40;
 
 // Returns the processor time of this thread, in seconds.
 inline double CpuSeconds() {
@@ -111,6 +111,7 @@
 
   uint64_t snapshots() const { return snapshots_; }
   uint64_t snapshot_bytes() const { return snapshot_bytes_; }
+  // Heap used by the owner and agents of the idle cell.
   size_t idle_heap_bytes() const { return idle_heap_bytes_; }
 
  private:
@@ -236,7 +237,7 @@
 
   void CountFrame(const std::string& frame) {
     ++totals_.messages;
-    totals_.bytes += frame.size() + kFrameOverhead;
+    totals_.bytes += frame.size() + kFrameOverheadBytes;
   }
 
   TimePoint now_{std::chrono::hours(1)};
--- a/beamhill/testing/worker_model.h
+++ b/beamhill/testing/worker_model.h
@@ -113,8 +113,8 @@
   struct Entry {
     WorkerTask listed;
     JobSpec job;
-    std::string resumed_from;
-    TimePoint ends_at{};
+    std::string resumed_from;  // Checkpoint, if any.
+    TimePoint ends_at{};       // Time of its natural end.
     bool ends_failed = false;
     TimePoint lease_end{};
   };
