--- a/beamhill/testing/routing_bench_test.cc
+++ b/beamhill/testing/routing_bench_test.cc
@@ -1,4 +1,5 @@
-// Regression bounds of routing: ratios within one run, virtual time.
+// Regression bounds for routing, as ratios to capacity and to baselines in
+// virtual time.
 #include "beamhill/testing/routing_bench.h"
 
 #include <gtest/gtest.h>
@@ -21,15 +22,16 @@
 }
 
 TEST(RoutingBench, KeepsGoodputAtTwiceTheCapacity) {
-  const RoutingResult calm = Bench(RoutingPolicy::kBeamhill, 0.7, false, false);
+  const RoutingResult moderate_load =
+      Bench(RoutingPolicy::kBeamhill, 0.7, false, false);
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 2.0, false, false);
   EXPECT_GT(r.goodput, 0.95);
-  EXPECT_LT(r.p99_ms, calm.p99_ms * 1.2);
+  EXPECT_LT(r.p99_ms, moderate_load.p99_ms * 1.2);
   EXPECT_EQ(r.over_slots, 0U);
-  EXPECT_LT(calm.not_run, 0.005);
+  EXPECT_LT(moderate_load.not_run, 0.005);
 }
 
-TEST(RoutingBench, GoesRoundASlowRunner) {
+TEST(RoutingBench, AvoidsSlowRunner) {
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 0.7, true, false);
   for (const RoutingPolicy baseline :
        {RoutingPolicy::kRandom, RoutingPolicy::kRoundRobin,
@@ -38,7 +40,7 @@
   }
 }
 
-TEST(RoutingBench, LeavesARunnerThatFailsFastOut) {
+TEST(RoutingBench, AvoidsRunnerThatFailsFast) {
   const RoutingResult r = Bench(RoutingPolicy::kBeamhill, 0.7, false, true);
   EXPECT_LT(r.errors, 0.01);
   EXPECT_GT(Bench(RoutingPolicy::kLeastOfTwo, 0.7, false, true).errors, 0.05);
