--- a/beamhill/cell/cell_host.cc
+++ b/beamhill/cell/cell_host.cc
@@ -60,8 +60,9 @@
     owner_->OnOutcomes(vm, *outcomes, now);
   } else if (const auto* report = std::get_if<RunnerReport>(&message)) {
     owner_->OnRunnerReport(vm, *report);
-  } else if (const auto* wanted = std::get_if<BatchEvictionRequest>(&message)) {
-    owner_->OnYieldWanted(vm, *wanted, now);
+  } else if (const auto* request =
+                 std::get_if<BatchEvictionRequest>(&message)) {
+    owner_->OnBatchEvictionRequest(vm, *request, now);
   }
 }
 
@@ -292,7 +293,7 @@
 void CellHost::TickOwner(TimePoint now) {
   owner_->Tick(now);
   if (now < retry_at_) return;
-  if (owner_->WantsConfirmation(now)) Confirm(now);
+  if (owner_->NeedsConfirmation(now)) Confirm(now);
   if (owner_) Save(now);
   if (!owner_) return;
   if (now >= last_poll_ + options_.poll_interval) Poll(now);
--- a/beamhill/cell/cell_owner.cc
+++ b/beamhill/cell/cell_owner.cc
@@ -68,7 +68,7 @@
          now < ownership_.confirmed_at + options_.ownership_term;
 }
 
-bool CellOwner::WantsConfirmation(TimePoint now) const {
+bool CellOwner::NeedsConfirmation(TimePoint now) const {
   if (ownership_lost_) return false;
   if (now >= ownership_.confirmed_at + options_.ownership_term / 4) return true;
   if (ExpiryNeedsConfirmation(now)) return true;
@@ -77,12 +77,12 @@
   });
 }
 
-Fence CellOwner::FenceFor(const Agent& agent) const {
+Fence CellOwner::FenceFor(const AgentState& agent) const {
   return Fence{ownership_.epoch, agent.session};
 }
 
-CellOwner::Agent* CellOwner::FindCurrentAgent(const std::string& vm,
-                                              const Fence& fence) {
+CellOwner::AgentState* CellOwner::FindCurrentAgent(const std::string& vm,
+                                                   const Fence& fence) {
   const auto it = agents_.find(vm);
   const bool current = it != agents_.end() && it->second.linked &&
                        fence.epoch == ownership_.epoch &&
@@ -92,7 +92,7 @@
   return nullptr;
 }
 
-void CellOwner::Send(const Agent& agent, Message message) {
+void CellOwner::Send(const AgentState& agent, Message message) {
   if (ownership_lost_) return;
   outbox_.push_back({agent.view.vm, std::move(message)});
 }
@@ -125,7 +125,7 @@
 }
 
 void CellOwner::OnHello(const Hello& hello, TimePoint now) {
-  Agent& agent = agents_[hello.vm];
+  AgentState& agent = agents_[hello.vm];
   agent.view.vm = hello.vm;
   agent.view.rack = hello.rack;
   agent.view.capacity = hello.capacity;
@@ -141,7 +141,7 @@
   if (MayAct(now)) RequestInventory(agent);
 }
 
-void CellOwner::RequestInventory(Agent& agent) {
+void CellOwner::RequestInventory(AgentState& agent) {
   ++agent.last_request;
   agent.request_sent = true;
   Send(agent, InventoryRequest{options_.cell, agent.confirmed,
@@ -168,7 +168,7 @@
 
 void CellOwner::OnHeartbeat(const std::string& vm, const Heartbeat& heartbeat,
                             TimePoint now) {
-  Agent* agent = FindCurrentAgent(vm, heartbeat.fence);
+  AgentState* agent = FindCurrentAgent(vm, heartbeat.fence);
   if (agent == nullptr) return;
   agent->last_heard_at = now;
   if (!MayAct(now)) return;
@@ -188,7 +188,7 @@
 
 void CellOwner::OnInventory(const std::string& vm, const Inventory& inventory,
                             TimePoint now) {
-  Agent* agent = FindCurrentAgent(vm, inventory.fence);
+  AgentState* agent = FindCurrentAgent(vm, inventory.fence);
   if (agent == nullptr || inventory.number != agent->last_request) return;
   // The agent may have obeyed a later owner before a restart, so its inventory
   // can't be used until this ownership is confirmed after its Hello.
@@ -224,7 +224,7 @@
 
 void CellOwner::OnOutcomes(const std::string& vm, const Outcomes& outcomes,
                            TimePoint now) {
-  Agent* agent = FindCurrentAgent(vm, outcomes.fence);
+  AgentState* agent = FindCurrentAgent(vm, outcomes.fence);
   if (agent == nullptr) return;
   std::vector<StopTask> acknowledge_now;
   for (const TaskOutcome& outcome : outcomes.outcomes) {
@@ -233,7 +233,7 @@
   SendAcknowledged(*agent, std::move(acknowledge_now));
 }
 
-void CellOwner::ApplyOutcome(Agent& agent, const TaskOutcome& outcome,
+void CellOwner::ApplyOutcome(AgentState& agent, const TaskOutcome& outcome,
                              TimePoint now,
                              std::vector<StopTask>* acknowledge_now) {
   const StopTask key{outcome.task, outcome.attempt};
@@ -277,27 +277,28 @@
   dirty_ = true;
 }
 
-void CellOwner::RecordHealth(const Agent& agent, const TaskOutcome& outcome,
-                             TimePoint now) {
+void CellOwner::RecordHealth(const AgentState& agent,
+                             const TaskOutcome& outcome, TimePoint now) {
   const bool done = outcome.kind == OutcomeKind::kDone;
   const bool failed = outcome.kind == OutcomeKind::kFailed;
   if (!done && !failed) return;
   health_.OnEnded(agent.view.vm, outcome.task.job, failed, now);
 }
 
-void CellOwner::SendAcknowledged(Agent& agent, std::vector<StopTask> tasks) {
+void CellOwner::SendAcknowledged(AgentState& agent,
+                                 std::vector<StopTask> tasks) {
   if (tasks.empty()) return;
   Send(agent, AcknowledgeOutcomes{FenceFor(agent), std::move(tasks)});
 }
 
-void CellOwner::AddHeldTask(Agent& agent, const TaskId& task,
+void CellOwner::AddHeldTask(AgentState& agent, const TaskId& task,
                             const Resources& amount, TimePoint since) {
   if (!agent.held.emplace(task, HeldTask{amount, since, false}).second) return;
   agent.view.granted += amount;
   AddLoad(agent, task, amount, 1);
 }
 
-void CellOwner::RemoveHeldTask(Agent& agent, const TaskId& task) {
+void CellOwner::RemoveHeldTask(AgentState& agent, const TaskId& task) {
   const auto it = agent.held.find(task);
   if (it == agent.held.end()) return;
   agent.view.granted -= it->second.amount;
@@ -338,7 +339,7 @@
   it->second.removed_from_list = false;
 }
 
-bool CellOwner::IsExpired(const Agent& agent, TimePoint now) const {
+bool CellOwner::IsExpired(const AgentState& agent, TimePoint now) const {
   if (agent.removed_from_list) {
     return !agent.linked || now >= agent.last_heard_at + kRecentlyHeard;
   }
@@ -358,7 +359,7 @@
   };
   if (!unreconciled_.empty() && waits(InheritedLeaseEnd())) return true;
   return std::any_of(agents_.begin(), agents_.end(), [&](const auto& entry) {
-    const Agent& agent = entry.second;
+    const AgentState& agent = entry.second;
     const bool silent =
         !agent.linked || now >= agent.last_heard_at + options_.agent_term;
     return silent && waits(std::max(InheritedLeaseEnd(), agent.lease_bound));
--- a/beamhill/cell/cell_owner.h
+++ b/beamhill/cell/cell_owner.h
@@ -136,7 +136,7 @@
   // Whether to confirm the ownership by a read: a quarter of the term has
   // passed, a linked agent must not be used before it, or it is all that keeps
   // a VM from being given up.
-  bool WantsConfirmation(TimePoint now) const;
+  bool NeedsConfirmation(TimePoint now) const;
 
   // Adds a range row read from the table, or applies its cancellation.
   void OnRange(const RangeRow& row);
@@ -153,8 +153,9 @@
   void OnRunnerReport(const std::string& vm, const RunnerReport& report);
   // Evicts a batch task of the VM: its agent reports that throttling them does
   // not protect the service enough.
-  void OnYieldWanted(const std::string& vm, const BatchEvictionRequest& wanted,
-                     TimePoint now);
+  void OnBatchEvictionRequest(const std::string& vm,
+                              const BatchEvictionRequest& request,
+                              TimePoint now);
   // The platform's list shows the VM, as leaving or not. A leaving VM gets no
   // new tasks.
   void OnVmLeaving(const std::string& vm, bool leaving);
@@ -208,7 +209,7 @@
     bool stopping = false;  // Its eviction was ordered.
   };
 
-  struct Agent {
+  struct AgentState {
     VmView view;
     Session session;
     bool linked = false;
@@ -234,12 +235,12 @@
   Duration WithClockMargin(Duration d) const;
   // The time by which every lease granted by earlier owners has expired.
   TimePoint InheritedLeaseEnd() const;
-  Fence FenceFor(const Agent& agent) const;
+  Fence FenceFor(const AgentState& agent) const;
   // Returns the VM's agent if the fence is of this epoch and of its current
   // session; otherwise counts a stale message and returns null.
-  Agent* FindCurrentAgent(const std::string& vm, const Fence& fence);
-  void Send(const Agent& agent, Message message);
-  void RequestInventory(Agent& agent);
+  AgentState* FindCurrentAgent(const std::string& vm, const Fence& fence);
+  void Send(const AgentState& agent, Message message);
+  void RequestInventory(AgentState& agent);
   void RequestPendingInventories();
   // The VM holds no unknown task. Requeues all unknown tasks if it was the last
   // VM to reconcile.
@@ -248,21 +249,21 @@
   void ForgetVm(const std::string& vm);
   // Updates the task's state. Adds the outcome to `*acknowledge_now` if it need
   // not be made durable before it is acknowledged.
-  void ApplyOutcome(Agent& agent, const TaskOutcome& outcome, TimePoint now,
-                    std::vector<StopTask>* acknowledge_now);
-  void RecordHealth(const Agent& agent, const TaskOutcome& outcome,
+  void ApplyOutcome(AgentState& agent, const TaskOutcome& outcome,
+                    TimePoint now, std::vector<StopTask>* acknowledge_now);
+  void RecordHealth(const AgentState& agent, const TaskOutcome& outcome,
                     TimePoint now);
   // Tells the agent that it may forget these outcomes.
-  void SendAcknowledged(Agent& agent, std::vector<StopTask> tasks);
-  void AddHeldTask(Agent& agent, const TaskId& task, const Resources& amount,
-                   TimePoint since);
+  void SendAcknowledged(AgentState& agent, std::vector<StopTask> tasks);
+  void AddHeldTask(AgentState& agent, const TaskId& task,
+                   const Resources& amount, TimePoint since);
   // Adds the task's load to the VM's class loads, or with a `sign` of -1
   // subtracts it.
-  void AddLoad(Agent& agent, const TaskId& task, const Resources& amount,
+  void AddLoad(AgentState& agent, const TaskId& task, const Resources& amount,
                int sign);
-  void RemoveHeldTask(Agent& agent, const TaskId& task);
+  void RemoveHeldTask(AgentState& agent, const TaskId& task);
   // Whether the VM can be given up: it is certain to run no task.
-  bool IsExpired(const Agent& agent, TimePoint now) const;
+  bool IsExpired(const AgentState& agent, TimePoint now) const;
   // Whether leases bounded by `bound` have certainly expired. A later owner may
   // have renewed them, unless a read sent after the bound still showed this
   // ownership.
@@ -290,7 +291,7 @@
                               const std::vector<const VmView*>& vms) const;
   // Returns the tasks of the VM to evict so that a task of size `each` fits;
   // empty if it would not fit even then.
-  std::vector<TaskId> PreemptionVictims(const Agent& agent,
+  std::vector<TaskId> PreemptionVictims(const AgentState& agent,
                                         const Resources& each) const;
   // Takes a token for one eviction; returns false if there is none. The bucket
   // holds an hour's evictions and refills over an hour.
@@ -305,7 +306,7 @@
   bool ownership_lost_ = false;
   uint64_t next_sequence_ = 1;
 
-  std::map<std::string, Agent> agents_;
+  std::map<std::string, AgentState> agents_;
   std::set<std::string> unreconciled_;
   std::map<std::string, RangeLedger> ranges_;
 
--- a/beamhill/cell/cell_owner_test.cc
+++ b/beamhill/cell/cell_owner_test.cc
@@ -351,8 +351,9 @@
   const auto count_acknowledged = [this] {
     size_t count = 0;
     for (const AgentMessage& message : owner_->TakeMessages()) {
-      const auto* settled = std::get_if<AcknowledgeOutcomes>(&message.message);
-      if (settled != nullptr) count += settled->tasks.size();
+      const auto* acknowledgement =
+          std::get_if<AcknowledgeOutcomes>(&message.message);
+      if (acknowledgement != nullptr) count += acknowledgement->tasks.size();
     }
     return count;
   };
--- a/beamhill/cell/cell_scheduling.cc
+++ b/beamhill/cell/cell_scheduling.cc
@@ -82,7 +82,7 @@
   }
   const auto choice = Place(ledger.job(), vms);
   if (!choice) return false;
-  Agent& agent = agents_.at(vms[*choice]->vm);
+  AgentState& agent = agents_.at(vms[*choice]->vm);
   const Attempt attempt = Attempt::Make(ownership_.epoch, next_sequence_++);
   AddHeldTask(agent, {ledger.job().id, startable->index}, each, now);
   ledger.OnStarted(startable->index, agent.view.vm, attempt);
@@ -148,7 +148,7 @@
   }
 }
 
-void CellOwner::AddLoad(Agent& agent, const TaskId& task,
+void CellOwner::AddLoad(AgentState& agent, const TaskId& task,
                         const Resources& amount, int sign) {
   const auto it = ranges_.find(task.job);
   if (it == ranges_.end() || agent.view.capacity.cpu_millis == 0) return;
@@ -203,10 +203,10 @@
 
 // Evicts the batch task that adds most to the service's latency by its class's
 // weight and its processor share. Urgent tasks are exempt.
-void CellOwner::OnYieldWanted(const std::string& vm,
-                              const BatchEvictionRequest& wanted,
-                              TimePoint now) {
-  Agent* agent = FindCurrentAgent(vm, wanted.fence);
+void CellOwner::OnBatchEvictionRequest(const std::string& vm,
+                                       const BatchEvictionRequest& request,
+                                       TimePoint now) {
+  AgentState* agent = FindCurrentAgent(vm, request.fence);
   if (agent == nullptr) return;
   const TaskId* victim = nullptr;
   double greatest_harm = 0;
@@ -246,7 +246,7 @@
 }
 
 // Selects the latest started tasks first, since they lose the least work.
-std::vector<TaskId> CellOwner::PreemptionVictims(const Agent& agent,
+std::vector<TaskId> CellOwner::PreemptionVictims(const AgentState& agent,
                                                  const Resources& each) const {
   std::vector<std::pair<TimePoint, TaskId>> victims;
   Resources left = agent.view.capacity - agent.view.granted;
@@ -276,7 +276,7 @@
   wanted = std::min(wanted, kMaxPreemptionsPerJob);
   for (size_t room = evicting; room < wanted; ++room) {
     std::vector<TaskId> best;
-    Agent* best_agent = nullptr;
+    AgentState* best_agent = nullptr;
     for (auto& [vm, agent] : agents_) {
       if (!agent.linked || !agent.inventory_received) continue;
       const std::vector<TaskId> victims = PreemptionVictims(agent, job.each);
@@ -298,7 +298,7 @@
 
 void CellOwner::FlushStarts() {
   for (auto& [vm, by_job] : starts_) {
-    const Agent& agent = agents_.at(vm);
+    const AgentState& agent = agents_.at(vm);
     for (auto& [job, tasks] : by_job) {
       Send(agent, StartTasks{FenceFor(agent), ranges_.at(job).job(),
                              std::move(tasks)});
