--- a/beamhill/agent/idempotency_key_store.cc
+++ b/beamhill/agent/idempotency_key_store.cc
@@ -9,7 +9,7 @@
     // Evicting an unexpired key could execute its request twice, so a full
     // store rejects new keys.
     if (keys_.size() >= max_keys_) return {KeyState::kFull, nullptr};
-    keys_.emplace(key, Entry{});
+    keys_.emplace(key, StoredKey{});
     return {KeyState::kNew, nullptr};
   }
   if (it->second.in_progress) return {KeyState::kInProgress, nullptr};
--- a/beamhill/agent/idempotency_key_store.h
+++ b/beamhill/agent/idempotency_key_store.h
@@ -70,7 +70,7 @@
   size_t size() const { return keys_.size(); }
 
  private:
-  struct Entry {
+  struct StoredKey {
     bool in_progress = true;
     TimePoint ended_at{};
     std::shared_ptr<const CachedResponse> response;
@@ -80,8 +80,8 @@
 
   Duration retention_;
   size_t max_keys_;
-  std::map<std::string, Entry> keys_;
-  // Ended keys in order of their end, for expiry.
+  std::map<std::string, StoredKey> keys_;
+  // Keys whose requests ended, in order of their end, for expiry.
   std::deque<std::pair<TimePoint, std::string>> ended_;
 };
 
--- a/beamhill/agent/runner_proxy.cc
+++ b/beamhill/agent/runner_proxy.cc
@@ -194,7 +194,7 @@
                 request.body};
   HttpClient::Stream stream;
   stream.on_head = [this, run](int status, const HttpHeaders& headers) {
-    OnHead(run, status, headers);
+    OnResponseHead(run, status, headers);
   };
   stream.on_bytes = [this, run](std::string_view bytes) {
     OnBytes(run, bytes);
@@ -222,7 +222,8 @@
   }
 }
 
-void RunnerProxy::OnHead(uint64_t run, int status, const HttpHeaders& headers) {
+void RunnerProxy::OnResponseHead(uint64_t run, int status,
+                                 const HttpHeaders& headers) {
   Running& running = *running_.at(run);
   HeaderList kept_headers;
   for (const HttpHeader& header : headers) {
--- a/beamhill/agent/runner_proxy.h
+++ b/beamhill/agent/runner_proxy.h
@@ -42,9 +42,9 @@
   // waits for a free slot. A request that gets none in this time, or finds the
   // queue full, is refused with kNotRun.
   Duration max_slot_wait = std::chrono::milliseconds(50);
-  // Each key is recorded on two agents. A request whose key is known only to
-  // the other agent waits this long for the first request of that key, which
-  // may still be on its way here.
+  // Each key has two replicas, the agents that record it. A request whose key
+  // is known only to the other agent waits this long for the first request of
+  // that key, which may still be on its way here.
   Duration max_repeat_wait = std::chrono::milliseconds(200);
 };
 
@@ -67,8 +67,9 @@
   ~RunnerProxy();
 
   void OnRequest(const std::string& entry, const RequestStart& request);
-  // Records a key whose request is about to be executed on another runner, and
-  // replies with whether the key was new here.
+  // As the key's secondary replica: records a key whose request is about to be
+  // executed on the primary replica's runner, and replies with whether the key
+  // was new here.
   void OnKeyClaim(const std::string& entry, const KeyClaim& claim);
   void OnKeyRelease(const KeyRelease& release) {
     keys_.MarkNotRun(release.key);
@@ -129,7 +130,7 @@
   // Sends a cached response.
   void Replay(const Origin& origin, const CachedResponse& response);
   void Forward(const Origin& origin, const RequestStart& request);
-  void OnHead(uint64_t run, int status, const HttpHeaders& headers);
+  void OnResponseHead(uint64_t run, int status, const HttpHeaders& headers);
   void OnBytes(uint64_t run, std::string_view bytes);
   void OnEnd(uint64_t run, const HttpOutcome& outcome);
   void SendToOrigins(const Running& running, const Message& message);
--- a/beamhill/entry/request_router.cc
+++ b/beamhill/entry/request_router.cc
@@ -41,9 +41,11 @@
   TimePoint received_at{};
   TimePoint sent_at{};
   TimePoint deadline{};
-  std::string primary_vm;    // With a key: VM of the primary, which runs it.
-  std::string secondary_vm;  // With a key: VM of the secondary.
-  bool claiming = false;     // The secondary has not answered the claim yet.
+  // With an idempotency key: the VMs of its replicas, and whether the secondary
+  // replica has not answered the claim yet. The primary one runs the request.
+  std::string primary_replica_vm;
+  std::string secondary_replica_vm;
+  bool claiming = false;
   bool response_started = false;
   bool server_error = false;
   Timer timer;
@@ -156,23 +158,23 @@
 void RequestRouter::DispatchWithKey(uint64_t id) {
   PendingRequest& pending = *pending_.at(id);
   const std::string& key = pending.start.idempotency_key;
-  auto key_runners =
+  auto replicas =
       runners_.KeyReplicas(pending.start.service, key, BootClock::now());
-  if (key_runners.empty()) {
+  if (replicas.empty()) {
     return FinishNotRun(id, "no runner remembers keys for long enough yet");
   }
-  // A primary that is leaving still recognizes keys but runs nothing new, so
-  // the roles are swapped. Entries that learn of it at different times may
-  // assign the roles differently; each then finds the key claimed by the other,
-  // and neither runs the request.
-  const bool swap_roles = key_runners.size() == 2 &&
-                          runners_.IsLeaving(key_runners.front()) &&
-                          !runners_.IsLeaving(key_runners.back());
-  if (swap_roles) std::swap(key_runners.front(), key_runners.back());
-  pending.primary_vm = key_runners.front();
-  if (key_runners.size() == 1) return SendToRunner(id, pending.primary_vm);
-  pending.secondary_vm = key_runners.back();
-  if (!hooks_.send(pending.secondary_vm, KeyClaim{id, key})) {
+  // A primary replica that is leaving still recognizes keys but runs nothing
+  // new, so the roles are swapped. Entries that learn of it at different times
+  // may assign the roles differently; each then finds the key claimed by the
+  // other, and neither runs the request.
+  const bool swap_roles = replicas.size() == 2 &&
+                          runners_.IsLeaving(replicas.front()) &&
+                          !runners_.IsLeaving(replicas.back());
+  if (swap_roles) std::swap(replicas.front(), replicas.back());
+  pending.primary_replica_vm = replicas.front();
+  if (replicas.size() == 1) return SendToRunner(id, pending.primary_replica_vm);
+  pending.secondary_replica_vm = replicas.back();
+  if (!hooks_.send(pending.secondary_replica_vm, KeyClaim{id, key})) {
     return FinishNotRun(id, "a keeper of the key can't be reached");
   }
   pending.claiming = true;
@@ -187,24 +189,25 @@
     return;
   }
   const auto it = pending_.find(claimed.id);
-  if (it == pending_.end() || it->second->secondary_vm != vm) return;
+  if (it == pending_.end() || it->second->secondary_replica_vm != vm) return;
   PendingRequest& pending = *it->second;
   if (!pending.claiming) return;
   pending.claiming = false;
   pending.start.key_is_new = claimed.is_new;
-  SendToRunner(claimed.id, pending.primary_vm);
+  SendToRunner(claimed.id, pending.primary_replica_vm);
 }
 
 // Before the claim is answered, the key may belong to an earlier request that
 // did run, so the release waits for the answer in abandoned_claims_.
 void RequestRouter::ReleaseKey(uint64_t id, const PendingRequest& pending) {
   if (pending.claiming) {
-    abandoned_claims_[id] = {pending.secondary_vm,
+    abandoned_claims_[id] = {pending.secondary_replica_vm,
                              pending.start.idempotency_key};
     return;
   }
-  if (pending.secondary_vm.empty() || !pending.start.key_is_new) return;
-  hooks_.send(pending.secondary_vm, KeyRelease{pending.start.idempotency_key});
+  if (pending.secondary_replica_vm.empty() || !pending.start.key_is_new) return;
+  hooks_.send(pending.secondary_replica_vm,
+              KeyRelease{pending.start.idempotency_key});
 }
 
 void RequestRouter::SendToRunner(uint64_t id, const std::string& vm) {
@@ -356,7 +359,9 @@
   std::vector<uint64_t> claims;
   for (const auto& [id, pending] : pending_) {
     if (pending->vm == vm) lost_requests.push_back(id);
-    if (pending->claiming && pending->secondary_vm == vm) claims.push_back(id);
+    if (pending->claiming && pending->secondary_replica_vm == vm) {
+      claims.push_back(id);
+    }
   }
   for (const uint64_t id : claims) {
     FinishNotRun(id, "a keeper of the key was lost");
--- a/beamhill/entry/request_router.h
+++ b/beamhill/entry/request_router.h
@@ -10,9 +10,10 @@
 //   not-run  provably, no runner received the request; it is safe to repeat
 //   unknown  the request may have run
 //
-// A request with an Idempotency-Key involves two runners: the key's secondary
-// first records the key (KeyClaim), then the key's primary runs the request.
-// When either is lost, the other still recognizes a repeat of the key.
+// An Idempotency-Key has two replicas, the agents that record it. The secondary
+// replica records the key first (KeyClaim); then the primary replica's runner
+// executes the request. When either replica is lost, the other still recognizes
+// a repeat of the key.
 //
 // Only a request that is provably not-run is retried on another runner, within
 // the retry budget and its deadline. A response that arrives after its request
--- a/beamhill/messages/messages.h
+++ b/beamhill/messages/messages.h
@@ -172,9 +172,9 @@
   std::string target;
   HeaderList headers;
   std::string idempotency_key;
-  // Each key is recorded on two agents. False if the other agent knew the key
-  // already; this agent may then reply with a cached response, but must not
-  // execute the request.
+  // Each key has two replicas, the agents that record it. False if the other
+  // replica knew the key already; this agent may then reply with a cached
+  // response, but must not execute the request.
   bool key_is_new = true;
   Duration deadline{};
   std::string body;
--- a/beamhill/routing/runner_table.cc
+++ b/beamhill/routing/runner_table.cc
@@ -55,7 +55,7 @@
   if (it == runners_.end()) return;
   Runner& runner = it->second;
   runner.limit = report.limit;
-  runner.leaving = report.draining;
+  runner.draining = report.draining;
   runner.reported_at = now;
   runner.other_in_progress = report.in_progress > runner.sent_in_progress
                                  ? report.in_progress - runner.sent_in_progress
@@ -68,7 +68,7 @@
 }
 
 bool RunnerTable::IsLeaving(const Runner& runner) {
-  return runner.leaving || runner.listed_leaving;
+  return runner.draining || runner.listed_leaving;
 }
 
 uint32_t RunnerTable::ExpectedInProgress(const Runner& runner) {
@@ -105,7 +105,8 @@
 
 // Reports are some milliseconds old, so that a runner may have capacity by now
 // although all seem to be at their limit, most likely the one with the oldest
-// report. Its gate enforces the limit: a request that it refuses has not run.
+// report. Its agent enforces the limit: a request that the agent refuses has
+// not run.
 std::optional<std::string> RunnerTable::PickLeastRecentlyReported(
     const std::string& service, const std::set<std::string>& excluded,
     TimePoint now) {
--- a/beamhill/routing/runner_table.h
+++ b/beamhill/routing/runner_table.h
@@ -50,8 +50,9 @@
   std::optional<std::string> Pick(const std::string& service,
                                   const std::set<std::string>& excluded,
                                   TimePoint now);
-  // Returns the VMs whose agents record this idempotency key, at most two and
-  // in different halls if possible. The request runs on the first.
+  // Returns the VMs of this idempotency key's replicas, the agents that record
+  // it: at most two, in different halls if possible. The first is the primary
+  // replica, whose runner executes the request.
   //
   // Selects by rendezvous hashing: every entry that knows the same runners gets
   // the same result, and at least one replica stays the same when one runner
@@ -98,7 +99,7 @@
     uint32_t other_in_progress = 0;
     uint32_t sent_in_progress = 0;
     Duration latency = std::chrono::milliseconds(1);  // Moving average.
-    bool leaving = false;         // By its agent's last report.
+    bool draining = false;        // By its agent's last report.
     bool listed_leaving = false;  // By the platform's list.
     TimePoint reported_at{};
     double failure_share = 0;  // Moving average, in [0, 1].
