--- a/beamhill/executor/call_queue.h
+++ b/beamhill/executor/call_queue.h
@@ -28,7 +28,7 @@
 template <typename Call>
 class CallQueue {
  public:
-  struct Entry {
+  struct QueuedCall {
     RunRef run;
     TimePoint queued_at{};
     Call call;
@@ -50,7 +50,7 @@
 
   // Takes out the next call, which is in flight until OnDone; nullopt if the
   // queue is empty or the limit on calls in flight is reached.
-  std::optional<Entry> TakeNext() {
+  std::optional<QueuedCall> TakeNext() {
     if (waiting_.empty() || in_flight_ >= max_in_flight_) return std::nullopt;
     ++in_flight_;
     return Remove(waiting_.begin());
@@ -67,9 +67,9 @@
     return true;
   }
   // Removes and returns all queued calls for which `stale` holds.
-  std::vector<Entry> WithdrawIf(
-      const std::function<bool(const Entry&)>& stale) {
-    std::vector<Entry> taken;
+  std::vector<QueuedCall> WithdrawIf(
+      const std::function<bool(const QueuedCall&)>& stale) {
+    std::vector<QueuedCall> taken;
     for (auto it = waiting_.begin(); it != waiting_.end();) {
       const auto entry = it++;
       if (stale(*entry)) taken.push_back(Remove(entry));
@@ -89,18 +89,18 @@
   }
 
  private:
-  using Position = typename std::list<Entry>::iterator;
+  using Position = typename std::list<QueuedCall>::iterator;
 
-  Entry Remove(Position position) {
+  QueuedCall Remove(Position position) {
     by_run_.erase(position->run);
-    Entry entry = std::move(*position);
+    QueuedCall entry = std::move(*position);
     waiting_.erase(position);
     return entry;
   }
 
   size_t max_in_flight_;
   size_t in_flight_ = 0;
-  std::list<Entry> waiting_;
+  std::list<QueuedCall> waiting_;
   std::map<RunRef, Position> by_run_;
 };
 
--- a/beamhill/executor/executor.cc
+++ b/beamhill/executor/executor.cc
@@ -152,7 +152,7 @@
     leave_polled_at_.reset();
     other_incarnation_answers_ = false;
     runner_is_gone_ = false;
-    inventory_wanted_ = true;
+    inventory_pending_ = true;
     last_answer_ = hooks_.now();
   }
   status_ = status;
@@ -223,7 +223,7 @@
   owner_link_ = link;
   reported_through_ = 0;
   empty_inventory_sent_ = false;
-  inventory_wanted_ = true;
+  inventory_pending_ = true;
   PollSoon();
 }
 
@@ -271,7 +271,7 @@
 }
 
 void Executor::GiveUpSilentRunner(TimePoint now) {
-  if (!owner_link_ || !inventory_wanted_ || empty_inventory_sent_) return;
+  if (!owner_link_ || !inventory_pending_ || empty_inventory_sent_) return;
   if (!AllLeasesExpired(now)) return;
   hooks_.log("runner_silent", "",
              status_.incarnation + ": every lease granted to it has expired");
@@ -284,8 +284,8 @@
 void Executor::SendHeartbeat(TimePoint now) {
   const bool reachable = now - last_answer_ < options_.runner_unreachable_after;
   if (!owner_link_ || !reachable) return;
-  if (now - last_heartbeat_ < options_.heartbeat_interval) return;
-  last_heartbeat_ = now;
+  if (now - last_heartbeat_at_ < options_.heartbeat_interval) return;
+  last_heartbeat_at_ = now;
   SendToOwner(VmHeartbeat{epoch_, now});
 }
 
--- a/beamhill/executor/executor.h
+++ b/beamhill/executor/executor.h
@@ -300,7 +300,7 @@
 
   uint64_t epoch_ = 0;
   std::optional<uint64_t> owner_link_;
-  bool inventory_wanted_ = false;
+  bool inventory_pending_ = false;
   // An inventory is built only from a poll sent at or after this time: an
   // earlier one may lack the outcome of an order that is no longer kept.
   TimePoint inventory_after_{};
@@ -309,7 +309,7 @@
   TimePoint started_at_{};
   TimePoint owner_heard_at_{};
   TimePoint lease_end_{};
-  TimePoint last_heartbeat_{};
+  TimePoint last_heartbeat_at_{};
 
   VmStatus status_;
   // Ids of the runner's incarnations before the current one, newest last.
@@ -336,7 +336,7 @@
   Pacer pacer_;
   PacePolicy pace_policy_ = PacePolicy::kCautious;
   TimePoint interference_reported_at_{};
-  // Whether this link was told that no run is paced any more.
+  // Whether a report sent on this link has shown that no run is paced any more.
   bool idle_reported_ = false;
   uint64_t acknowledged_through_ = 0;  // Highest end the runner may forget.
   uint64_t highest_end_listed_ = 0;
--- a/beamhill/executor/executor_pacing.cc
+++ b/beamhill/executor/executor_pacing.cc
@@ -220,19 +220,19 @@
   for (const ServingSample& sample : serving) {
     tails[sample.image] = std::max(tails[sample.image], sample.tail);
   }
-  VmInterference pressure;
-  pressure.epoch = epoch_;
+  VmInterference report;
+  report.epoch = epoch_;
   for (const auto& [image, tail] : tails) {
-    pressure.serving.push_back({image, tail});
+    report.serving.push_back({image, tail});
   }
   for (const auto& [image, share] : best_effort) {
     const double cpu =
         share.used * static_cast<double>(status_.capacity.cpu_millis);
-    pressure.best_effort_loads.push_back(
+    report.best_effort_loads.push_back(
         {image, static_cast<int64_t>(cpu), pacer_.PacePercent(image)});
   }
   idle_reported_ = owner_link_ && serving.empty() && best_effort.empty();
-  SendToOwner(pressure);
+  SendToOwner(report);
 }
 
 void Executor::OnPacePolicy(const PacePolicyNotice& notice) {
@@ -244,7 +244,7 @@
 }
 
 void Executor::OnWeights(const InterferenceWeights& learned) {
-  Pacer::InterferenceWeights weights;
+  Pacer::ImagePairWeights weights;
   for (const InterferenceWeight& weight : learned.weights) {
     weights[{weight.serving, weight.best_effort_image}] = weight.per_vm;
   }
--- a/beamhill/executor/executor_polling.cc
+++ b/beamhill/executor/executor_polling.cc
@@ -118,7 +118,7 @@
     paced_.erase(end.run);
   }
   const auto wants_inventory = [this] {
-    return inventory_wanted_ && owner_link_;
+    return inventory_pending_ && owner_link_;
   };
   if (wants_inventory() && sent_at >= inventory_after_) SendInventory(view);
   ReportEnds(view);
@@ -145,14 +145,14 @@
   for (const auto& [run, order] : orders_) inventory.pending.push_back(run);
   inventory.ended = view.ended;
   AddPastIncarnations(inventory);
-  inventory_wanted_ = false;
+  inventory_pending_ = false;
   reported_through_ = HighestEndNumber(view.ended);
   reported_at_ = hooks_.now();
   idle_reported_ = false;
   SendToOwner(inventory);
   // Requests a lease without waiting for the next heartbeat interval.
-  last_heartbeat_ = hooks_.now();
-  SendToOwner(VmHeartbeat{epoch_, last_heartbeat_});
+  last_heartbeat_at_ = hooks_.now();
+  SendToOwner(VmHeartbeat{epoch_, last_heartbeat_at_});
 }
 
 void Executor::SendEmptyInventory() {
--- a/beamhill/executor/executor_test.cc
+++ b/beamhill/executor/executor_test.cc
@@ -264,8 +264,8 @@
 }
 
 // If undelivered starts counted as answers, the lease of a runner that is gone
-// would be renewed for as long as starts are sent to it, which delayed the
-// restart of its tasks by 25 s in a simulated day with crashing runners.
+// would be renewed for as long as starts are sent to it, which can delay the
+// restart of its tasks by 25 s.
 TEST_F(ExecutorTest, UndeliveredCallsDoNotCountAsAnswers) {
   Register("incarnation-1");
   Attach(1);
@@ -282,7 +282,7 @@
 
 // After the loss of a runner and its owner, a new owner need not wait out every
 // lease that its predecessor may have granted, since only this executor passes
-// leases on. Without the report, tasks were down for 25 s in a simulated day.
+// leases on. Without the report, tasks can be down for 25 s.
 TEST_F(ExecutorTest, SilentRunnerIsReportedEmptyOnceItsLeasesExpired) {
   Register("incarnation-1");
   Attach(1);  // Grants 5 s.
--- a/beamhill/executor/incarnation_record.h
+++ b/beamhill/executor/incarnation_record.h
@@ -8,7 +8,7 @@
 //   IncarnationRecord record;
 //   record.OnStartSent(run, now);
 //   record.OnPollReply(view, sent_at);  // The runner answered a poll.
-//   PastLife past = record.Describe("vm-1/7", /*announced=*/false);
+//   PastIncarnation past = record.Describe("vm-1/7", /*announced=*/false);
 #ifndef BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 #define BEAMHILL_EXECUTOR_INCARNATION_RECORD_H_
 
--- a/beamhill/executor/latency_guard.cc
+++ b/beamhill/executor/latency_guard.cc
@@ -13,13 +13,13 @@
 constexpr double kClearRatio = 0.9;
 // An overrun of this length starts a pause. A sample lags by up to a second,
 // and a poll and the pace orders take a third of a second, so best-effort runs
-// are paused at most 3.3 s after the tail rose. Not longer where harm counts
-// later: pausing after 2.6 s brought no gain.
+// are paused at most 3.3 s after the tail rose. Where harm counts later, a
+// later pause, such as after 2.6 s, would have no benefit.
 constexpr Duration kMaxOverrun = std::chrono::milliseconds(2000);
 // Where harm counts sooner, the time until harm is divided by this instead.
 constexpr int kHarmAfterDivisor = 2;
-// This and kMaxPause are timed from when no best-effort run was measured as
-// active, so that the tails measured then reflect the pause.
+// This and kMaxPause are timed from the last sample that shows an active
+// best-effort run, so that the tails sampled after it reflect the pause.
 constexpr Duration kMinPause = std::chrono::milliseconds(250);
 // A tail of ten times its target falls below it within 1.1 s of the pause; one
 // that is still up after this time has another cause.
--- a/beamhill/executor/latency_guard.h
+++ b/beamhill/executor/latency_guard.h
@@ -38,8 +38,8 @@
   explicit LatencyGuard(Duration harm_after = kDefaultHarmAfter);
 
   // Updates the state by the newest samples of the VM. `best_effort_active`
-  // tells whether any best-effort run was measured to use CPU: pace orders may
-  // be lost, so a pause is timed from when none does.
+  // tells whether any best-effort run uses CPU by these samples: pace orders
+  // may be lost, so a pause is timed from when none does.
   void Observe(const std::vector<ServingSample>& serving,
                bool best_effort_active, TimePoint now);
 
--- a/beamhill/executor/pacer.h
+++ b/beamhill/executor/pacer.h
@@ -37,7 +37,7 @@
  public:
   // By serving and best-effort image: how much the best-effort image would add
   // to the serving image's tail latency if it used the whole VM.
-  using InterferenceWeights =
+  using ImagePairWeights =
       std::map<std::pair<std::string, std::string>, Duration>;
   // Shares of the VM's CPU, from 0 to 1.
   struct BestEffortShare {
@@ -52,11 +52,11 @@
 
   void set_policy(PacePolicy policy) { policy_ = policy; }
   // Replaces the weights by those that the owner has learned.
-  void SetInterferenceWeights(InterferenceWeights weights) {
+  void SetInterferenceWeights(ImagePairWeights weights) {
     weights_ = std::move(weights);
   }
   // Updates paces by the newest samples of the VM. `best_effort_active` tells
-  // whether any best-effort run was measured to use CPU.
+  // whether any best-effort run uses CPU by these samples.
   void Observe(const std::vector<ServingSample>& serving,
                const BestEffortShares& best_effort, bool best_effort_active,
                TimePoint now);
@@ -88,7 +88,7 @@
 
   PacePolicy policy_ = PacePolicy::kCautious;
   LatencyGuard guard_;
-  InterferenceWeights weights_;
+  ImagePairWeights weights_;
   std::map<std::string, int> percents_;
   // Whether some tail is near or above its target, so that paces are reduced.
   bool near_target_ = false;
