--- a/beamhill/base/stop_sequence_test.cc
+++ b/beamhill/base/stop_sequence_test.cc
@@ -37,8 +37,8 @@
 }
 
 // Guards against a lost request: an idle agent exited at its next tick, while a
-// request was on its way to it. The process test of a planned stop failed for
-// this in one of five runs.
+// request was on its way to it. A planned stop lost a request that way in one
+// of five runs.
 TEST(StopSequenceTest, IdleProcessStaysForRequestsInFlight) {
   StopSequenceOptions options;
   options.grace = std::chrono::hours(1);
--- a/beamhill/ctl/ctl_main.cc
+++ b/beamhill/ctl/ctl_main.cc
@@ -43,7 +43,7 @@
         print_json_(print_json) {}
 
   // Returns the exit code. `watch` repeats the command every second until the
-  // job ends, or for ever; `key` is the idempotency key of a submission.
+  // job ends, or forever; `key` is the idempotency key of a submission.
   int Run(const Args& args, bool watch, const std::string& key) {
     const std::string& command = args.front();
     if (command == "submit" && args.size() == 2) return Submit(args[1], key);
--- a/beamhill/jobs/job_store.cc
+++ b/beamhill/jobs/job_store.cc
@@ -10,7 +10,7 @@
 namespace beamhill {
 namespace {
 
-constexpr int kMaxTries = 5;
+constexpr int kMaxAttempts = 5;
 // Number of tasks of a part that its cell may start before its first progress
 // snapshot contains the job.
 constexpr uint32_t kInitialWindow = 64;
@@ -107,7 +107,7 @@
   TrySubmit(row, 1, std::move(done));
 }
 
-void JobStore::TrySubmit(const JobRow& row, int tries,
+void JobStore::TrySubmit(const JobRow& row, int attempts,
                          std::function<void(Result<JobAccepted>)> done) {
   Transaction submit;
   submit.writes.push_back({JobKey(row.job.id), 0, EncodeRow(row)});
@@ -119,21 +119,21 @@
     submit.writes.push_back(
         {RangeKey(part.cell, row.job.id), 0, EncodeRow(range)});
   }
-  table_.commit(std::move(submit), lifetime_.Guard([this, row, tries,
+  table_.commit(std::move(submit), lifetime_.Guard([this, row, attempts,
                                                     done = std::move(done)](
                                                        CommitAnswer answer) {
     switch (answer.result) {
       case CommitResult::kCommitted:
-        return done(JobAccepted{row.job.id, tries > 1});
+        return done(JobAccepted{row.job.id, attempts > 1});
       case CommitResult::kNotApplied:
-        if (tries > 1) return done(Undecided());
+        if (attempts > 1) return done(Undecided());
         return done(Error{ErrorCode::kUnavailable,
                           "the platform's table refused the write",
                           "try again; the job was not accepted"});
       case CommitResult::kUnknown:
         // Repeating the write is safe: it takes effect at most once.
-        if (tries >= kMaxTries) return done(Undecided());
-        return TrySubmit(row, tries + 1, done);
+        if (attempts >= kMaxAttempts) return done(Undecided());
+        return TrySubmit(row, attempts + 1, done);
       case CommitResult::kConflict:
         break;
     }
@@ -220,14 +220,14 @@
   TryCancel(job, 1, std::move(done));
 }
 
-void JobStore::TryCancel(const std::string& job, int tries,
+void JobStore::TryCancel(const std::string& job, int attempts,
                          std::function<void(Status)> done) {
-  if (tries > kMaxTries) return done(Undecided());
+  if (attempts > kMaxAttempts) return done(Undecided());
   // After the first try, an earlier write may have taken effect.
-  const auto read_error = [tries](const Error& error) {
-    return tries > 1 ? Undecided() : error;
+  const auto read_error = [attempts](const Error& error) {
+    return attempts > 1 ? Undecided() : error;
   };
-  table_.read({JobKey(job)}, lifetime_.Guard([this, job, tries, read_error,
+  table_.read({JobKey(job)}, lifetime_.Guard([this, job, attempts, read_error,
                                               done](Result<std::vector<Row>>
                                                         rows) {
     if (!IsOk(rows)) return done(read_error(ErrorOf(rows)));
@@ -241,9 +241,9 @@
     for (const JobPart& part : row.parts) {
       keys.push_back(RangeKey(part.cell, job));
     }
-    table_.read(keys, lifetime_.Guard([this, job, tries, read_error, done, row,
-                                       job_row](Result<std::vector<Row>>
-                                                    ranges) mutable {
+    table_.read(keys, lifetime_.Guard([this, job, attempts, read_error, done,
+                                       row, job_row](Result<std::vector<Row>>
+                                                         ranges) mutable {
       if (!IsOk(ranges)) return done(read_error(ErrorOf(ranges)));
       row.cancelled = true;
       Transaction cancel;
@@ -258,12 +258,12 @@
       }
       table_.commit(
           std::move(cancel),
-          lifetime_.Guard([this, job, tries, done](CommitAnswer answer) {
+          lifetime_.Guard([this, job, attempts, done](CommitAnswer answer) {
             if (answer.result == CommitResult::kCommitted) {
               return done(Ok{});
             }
             // The reply was lost, or a part finished in the meantime.
-            TryCancel(job, tries + 1, done);
+            TryCancel(job, attempts + 1, done);
           }));
     }));
   }));
--- a/beamhill/jobs/job_store.h
+++ b/beamhill/jobs/job_store.h
@@ -80,10 +80,10 @@
   void Cancel(const std::string& job, std::function<void(Status)> done);
 
  private:
-  // `tries` counts the attempts so far, including this one.
-  void TrySubmit(const JobRow& row, int tries,
+  // `attempts` includes this attempt.
+  void TrySubmit(const JobRow& row, int attempts,
                  std::function<void(Result<JobAccepted>)> done);
-  void TryCancel(const std::string& job, int tries,
+  void TryCancel(const std::string& job, int attempts,
                  std::function<void(Status)> done);
   void ReadProgress(JobStatus status, const JobRow& row,
                     std::function<void(Result<JobStatus>)> done);
--- a/beamhill/replay/crashing_runner.h
+++ b/beamhill/replay/crashing_runner.h
@@ -75,7 +75,7 @@
   RunnerReply Reply(RunnerVerdict verdict) const;
   // Calls `act` after the call latency if the runner is then still the
   // incarnation that was called and `incarnation` names it, and passes its
-  // verdict to `done`.
+  // result to `done`.
   void Call(const std::string& incarnation,
             std::function<void(RunnerReply)> done,
             std::function<RunnerVerdict()> act);
--- a/beamhill/replay/fleet_start.h
+++ b/beamhill/replay/fleet_start.h
@@ -1,5 +1,5 @@
 // Fleet start simulation: starts all processes of a deployment at once in
-// virtual time, with the real OwnershipKeepers and VmRegistrations over a
+// virtual time, with real OwnershipKeeper and VmRegistration objects over a
 // TimedTable.
 //
 // Shows how long a first start or a restart after a power failure takes, by the
--- a/beamhill/replay/replay_runner.cc
+++ b/beamhill/replay/replay_runner.cc
@@ -8,7 +8,7 @@
 
 // Latency of a call to the runner on the same VM.
 constexpr Duration kCallLatency = std::chrono::milliseconds(1);
-// Tails follow a change of load with the time constant observed on deployments;
+// Tails follow a change of load with the time constant of real deployments;
 // CPU use follows fully within half a second.
 constexpr double kTailTimeConstantSeconds = 0.45;
 constexpr double kCpuTimeConstantSeconds = 0.12;
--- a/beamhill/settings/settings_tree.h
+++ b/beamhill/settings/settings_tree.h
@@ -7,7 +7,7 @@
 //
 //   SettingsTree tree;
 //   tree.Replace(revision, rows);
-//   auto effective = tree.Effective("estate/mongolia/khan-uul");
+//   auto effective = tree.Effective("estate/north/hall-2");
 #ifndef BEAMHILL_SETTINGS_SETTINGS_TREE_H_
 #define BEAMHILL_SETTINGS_SETTINGS_TREE_H_
 
--- a/beamhill/table/row_names.h
+++ b/beamhill/table/row_names.h
@@ -32,7 +32,8 @@
 inline constexpr char kProgress[] = "progress/";
 inline constexpr char kCancels[] = "cancels/";
 inline constexpr char kLearned[] = "learned/";
-// Interference that best-effort tasks cause on serving tasks, as observed.
+// Interference of best-effort tasks with serving tasks, as the owner learned
+// it.
 inline constexpr char kInterference[] = "learned/pressure";
 // Markers for workflows that the owner may not have seen yet: "n-" followed by
 // the ID of a new one, "c-" by that of a cancelled one.
